--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -6,12 +6,12 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use jiff::tz::TimeZone;
-use stilespan::interface::{Dur, ReplicaId, State, Time};
+use stilespan::interface::{ReplicaId, Span, State, Timestamp};
 use stilespan::ops::metrics::Metrics;
 use stilespan::routing::{Ask, Catalog, Holdings, ModelSpec, Needs, Numbers, Route, Step};
 use stilespan::spend::{Budget, Ledger, Length, Limit, MOST_TOKENS, Node, Period, TOKEN, Tree};
 
-const START: Time = Time(1_790_000_000_000_000);
+const START: Timestamp = Timestamp::from_secs(1_790_000_000);
 
 fn tree(nodes: usize) -> Tree {
     let period = |length| Period {
@@ -28,7 +28,7 @@
         };
         let rate = Limit::Drip {
             amount: MOST_TOKENS * TOKEN,
-            full_in: Dur(1_000_000),
+            full_in: Span::from_secs(1),
         };
         vec![
             each("day", Length::Day),
@@ -83,7 +83,7 @@
         group.bench_function(BenchmarkId::from_parameter(nodes), |b| {
             b.iter(|| {
                 k = (k + 1) % leaves.len();
-                now.0 += 3;
+                now = now + Span::from_micros(3);
                 let hold = ledger.reserve(leaves[k], 500 * TOKEN, now).unwrap();
                 black_box(ledger.settle(hold, 300 * TOKEN, now))
             });
@@ -110,10 +110,15 @@
                 .filter(|m| m % 40 == k % 40)
                 .map(|m| format!("model-{m}"))
                 .collect();
-            hosts.list(ReplicaId(k as u64), State::InService, Time(0), Some(&names));
+            hosts.list(
+                ReplicaId(k as u64),
+                State::InService,
+                Timestamp::ZERO,
+                Some(&names),
+            );
         }
         hosts.count(std::slice::from_ref(&catalog));
-        let mut needs = Needs::new(Dur(400_000));
+        let mut needs = Needs::new(Span::from_millis(400));
         let mut k = 0;
         group.bench_function(BenchmarkId::from_parameter(models), |b| {
             b.iter(|| {
@@ -122,14 +127,14 @@
                     model: k,
                     prompt: 500,
                     cap: Some(200),
-                    expires: START + Dur(1_500_000),
+                    expires: START + Span::from_millis(1_500),
                     attempts: 3,
                     safe: true,
                 };
                 let mut route = Route::new(catalog.clone(), ask, |_| true).unwrap();
                 let step = route.next(&hosts, &needs, START);
                 if let Step::Try(_) = step {
-                    route.answered(&mut needs, START + Dur(50_000));
+                    route.answered(&mut needs, START + Span::from_millis(50));
                 }
                 black_box(step)
             });
--- a/benches/pools.rs
+++ b/benches/pools.rs
@@ -40,9 +40,9 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim: Dur(400_000),
-        pace: Dur(60_000),
-        deadline: Dur(1_500_000),
+        aim: Span::from_millis(400),
+        pace: Span::from_millis(60),
+        deadline: Span::from_millis(1_500),
         ..Class::default()
     };
     Settings {
@@ -61,7 +61,7 @@
         replica: ReplicaId(h),
         rating: 1.0,
         models: match model {
-            None => Models::only(models(h).into_iter().map(|m| (m, Dur(0)))),
+            None => Models::only(models(h).into_iter().map(|m| (m, Span::ZERO))),
             Some(_) => Models::default(),
         },
         ..Entry::default()
@@ -91,13 +91,13 @@
         true => (1..=2)
             .map(|m| {
                 (
-                    Balancer::new(settings(), m.into(), Time(0)),
+                    Balancer::new(settings(), m.into(), Timestamp::ZERO),
                     vec![list(entries(Some(m)))],
                 )
             })
             .collect(),
         false => vec![(
-            Balancer::new(settings(), 1, Time(0)),
+            Balancer::new(settings(), 1, Timestamp::ZERO),
             vec![list(entries(None))],
         )],
     };
@@ -116,7 +116,7 @@
             // a quarter are for the larger model, with longer prompts
             let model = if rng.next() < 0.25 { 2 } else { 1 };
             let prompt = if model == 2 { 800 } else { 300 } + (rng.next() * 400.0) as u32;
-            let valid_until = Time(now + 1_500_000);
+            let valid_until = Timestamp::from_micros(now + 1_500_000);
             asked.insert(id, (now, model, prompt));
             let arrival = Arrival {
                 request: RequestId(id),
@@ -144,7 +144,7 @@
                     balancers[at].1.push(Event::First {
                         request,
                         trial: 0,
-                        took: Dur(took),
+                        took: Span::from_micros(took),
                     });
                 }
                 Next::End {
@@ -178,7 +178,8 @@
                         continue;
                     }
                     figures.good += u32::from(in_time && end - first <= 2 * DECODE);
-                    let (request, outcome, took) = (RequestId(id), Outcome::Ok, Dur(end - sent));
+                    let (request, outcome, took) =
+                        (RequestId(id), Outcome::Ok, Span::from_micros(end - sent));
                     let ended = Event::Ended {
                         request,
                         trial: 0,
@@ -195,7 +196,7 @@
         for (at, (balancer, events)) in balancers.iter_mut().enumerate() {
             let mut actions = Vec::new();
             let start = Instant::now();
-            balancer.step(Time(now), events, &mut actions);
+            balancer.step(Timestamp::from_micros(now), events, &mut actions);
             figures.nanoseconds += start.elapsed().as_nanos();
             figures.steps += 1;
             events.clear();
--- a/src/batch/mod.rs
+++ b/src/batch/mod.rs
@@ -141,7 +141,7 @@
     let run = jobs::Options {
         class: class as u32,
         class_name: options.class.clone(),
-        patience: Duration::from_micros(config.settings.classes[class].deadline.0),
+        patience: Duration::from(config.settings.classes[class].deadline),
         max_lines: options.limits.lines,
         max_line: options.limits.line_kb << 10,
         max_batches: options.limits.batches.max(1),
--- a/src/bin/stilespan-simhost.rs
+++ b/src/bin/stilespan-simhost.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 
 use stilespan::Balancer;
-use stilespan::interface::{Event, Time};
+use stilespan::interface::{Event, Timestamp};
 use stilespan::wire::{Line, Reader};
 
 /// One instance: its balancer while it lives, and its events of the batch being read.
@@ -32,7 +32,7 @@
     let mut slots: Vec<Slot> = Vec::new();
     let mut touched: Vec<usize> = Vec::new();
     let (mut line, mut reply, mut actions) = (Vec::new(), String::new(), Vec::new());
-    let (mut now, mut batch) = (Time(0), 0);
+    let (mut now, mut batch) = (Timestamp::ZERO, 0);
     for number in 1u64.. {
         let at = |e: String| format!("line {number}: {e}");
         line.clear();
--- a/src/core/actor/actions.rs
+++ b/src/core/actor/actions.rs
@@ -9,10 +9,10 @@
 use crate::core::attempt_history::AttemptHistory;
 use crate::core::request_state::RequestState;
 use crate::core::{Answer, AttemptId, DiscoveryCommand, UpstreamCommand};
-use crate::interface::{Action, Dur, Event, Outcome, ReplicaId, RequestId, Time};
+use crate::interface::{Action, Event, Outcome, ReplicaId, RequestId, Span, Timestamp};
 
 impl Core {
-    pub(super) fn carry_out(&mut self, action: Action, at: Instant, now: Time) {
+    pub(super) fn carry_out(&mut self, action: Action, at: Instant, now: Timestamp) {
         match action {
             Action::Send {
                 request,
@@ -26,7 +26,7 @@
                 self.cancel_attempt(AttemptId { request, attempt }, Outcome::Cancelled, at);
             }
             Action::Refuse { request, retry_in } => {
-                let retry_after = retry_in.map(|span| Duration::from_micros(span.0));
+                let retry_after = retry_in.map(Duration::from);
                 self.answer(request, |history| Answer::Rejected {
                     retry_after,
                     forwarded: history.forwarded(),
@@ -75,7 +75,7 @@
             self.events.push(Event::Probed {
                 replica,
                 outcome: Outcome::ConnectFailed,
-                took: Dur(0),
+                took: Span::ZERO,
                 report: None,
             });
         }
--- a/src/core/actor/attempts.rs
+++ b/src/core/actor/attempts.rs
@@ -11,7 +11,7 @@
 use crate::core::in_flight_attempt::{CancelGuard, InFlightAttempt};
 use crate::core::request_state::{RequestState, StateName};
 use crate::core::{Answer, Attempt, AttemptGate, AttemptId, AttemptResult, Chunk, UpstreamCommand};
-use crate::interface::{Dur, Event, Outcome, ReplicaId, RequestId, Time};
+use crate::interface::{Event, Outcome, ReplicaId, RequestId, Span, Timestamp};
 
 impl Core {
     /// Orders an attempt at a replica. `give_up`: how long to wait for its first token at most.
@@ -19,9 +19,9 @@
         &mut self,
         request: RequestId,
         replica: ReplicaId,
-        give_up: Option<Dur>,
+        give_up: Option<Span>,
         at: Instant,
-        now: Time,
+        now: Timestamp,
     ) {
         let Some(in_flight) = self.requests.get_mut(&request) else {
             return;
@@ -104,7 +104,10 @@
         let _ = reply_to.send(Answer::Started(chunks));
         trace!(
             "request {} attempt {} at {:x}: first token after {} us",
-            id.request.0, id.attempt, attempt.replica.0, took.0
+            id.request.0,
+            id.attempt,
+            attempt.replica.0,
+            took.as_micros()
         );
         self.events.push(Event::First {
             request: id.request,
@@ -184,7 +187,10 @@
         let took = micros(at.saturating_duration_since(attempt.ordered_at));
         trace!(
             "request {} attempt {} at {:x}: {outcome:?} after {} us",
-            request.0, attempt.number, attempt.replica.0, took.0
+            request.0,
+            attempt.number,
+            attempt.replica.0,
+            took.as_micros()
         );
         self.events.push(Event::Ended {
             request,
--- a/src/core/actor/endpoints.rs
+++ b/src/core/actor/endpoints.rs
@@ -10,14 +10,14 @@
 
 use super::Core;
 use crate::core::{Endpoint, EndpointsUpdate, UpstreamCommand};
-use crate::interface::{Entry, Event, ListKind, ReplicaId, State, Time};
+use crate::interface::{Entry, Event, ListKind, ReplicaId, State, Timestamp};
 
 /// The upstream of an endpoint.
 pub(super) struct UpstreamHandle {
     /// The endpoint's address.
     pub address: String,
     /// When the endpoint started.
-    pub started: Time,
+    pub started: Timestamp,
     /// The upstream's commands.
     pub commands: mpsc::Sender<UpstreamCommand>,
 }
--- a/src/core/actor/mod.rs
+++ b/src/core/actor/mod.rs
@@ -25,7 +25,7 @@
     Message,
 };
 use crate::Balancer;
-use crate::interface::{Action, Class, Dur, Effect, Event, ReplicaId, RequestId, Time};
+use crate::interface::{Action, Class, Effect, Event, ReplicaId, RequestId, Span, Timestamp};
 use crate::ops::exclusions::Exclusions;
 use crate::ops::metrics::Metrics;
 use endpoints::UpstreamHandle;
@@ -36,26 +36,26 @@
 
 /// How long before the client's expiry the decision module has to answer (10 ms): the answer still
 /// has to be written and to reach the client.
-const CLIENT_ANSWER_MARGIN: Dur = Dur(10_000);
+const CLIENT_ANSWER_MARGIN: Span = Span::from_millis(10);
 /// How long before the client's expiry the core itself answers a request for which the decision
 /// module has given none (3 ms).
-const LAST_ANSWER_MARGIN: Dur = Dur(3_000);
+const LAST_ANSWER_MARGIN: Span = Span::from_millis(3);
 /// The most operators' commands that wait for the core.
 const MAINTENANCE_MAILBOX_CAPACITY: usize = 16;
 
 /// A duration as the decision module has it.
-fn micros(duration: Duration) -> Dur {
-    Dur(duration.as_micros() as u64)
+fn micros(duration: Duration) -> Span {
+    Span::from(duration)
 }
 
 /// The time by which something must be done that is due this long before another.
-fn earlier_by(time: Time, margin: Dur) -> Time {
-    Time(time.0.saturating_sub(margin.0))
+fn earlier_by(time: Timestamp, margin: Span) -> Timestamp {
+    Timestamp::from_micros(time.as_micros().saturating_sub(margin.as_micros()))
 }
 
 /// How long retries of a class's requests are allowed, where that is limited.
 fn retry_window(class: &Class) -> Option<Duration> {
-    (class.effect == Effect::Keyed).then(|| Duration::from_micros(class.window.0))
+    (class.effect == Effect::Keyed).then(|| Duration::from(class.window))
 }
 
 /// The core's actor.
@@ -99,7 +99,7 @@
         let (maintenance_to, maintenance) = mpsc::channel(MAINTENANCE_MAILBOX_CAPACITY);
         let settings = options.settings;
         let core = Core {
-            step_interval: Duration::from_micros(settings.period.0),
+            step_interval: Duration::from(settings.period),
             max_attempts: settings.max_attempts,
             max_requests_in_flight: options.max_requests_in_flight,
             attempt_start_timeout: options.attempt_start_timeout,
--- a/src/core/actor/requests.rs
+++ b/src/core/actor/requests.rs
@@ -11,10 +11,10 @@
 use crate::core::in_flight_request::InFlightRequest;
 use crate::core::request_state::RequestState;
 use crate::core::{Answer, Request, RequestAttributes};
-use crate::interface::{Arrival, Event, Outcome, RequestId, Time};
+use crate::interface::{Arrival, Event, Outcome, RequestId, Timestamp};
 
 /// A request as the decision module gets to know it.
-fn arrival(request: RequestId, attributes: &RequestAttributes, expires_at: Time) -> Arrival {
+fn arrival(request: RequestId, attributes: &RequestAttributes, expires_at: Timestamp) -> Arrival {
     Arrival {
         request,
         class: attributes.class,
--- a/src/core/actor/run.rs
+++ b/src/core/actor/run.rs
@@ -87,7 +87,8 @@
                 let took = micros(took);
                 trace!(
                     "health check of {:x}: {outcome:?} after {} us, {report:?}",
-                    replica.0, took.0
+                    replica.0,
+                    took.as_micros()
                 );
                 self.events.push(Event::Probed {
                     replica,
--- a/src/core/actor/timers.rs
+++ b/src/core/actor/timers.rs
@@ -9,7 +9,7 @@
 use super::Core;
 use crate::core::request_state::RequestState;
 use crate::core::{Answer, AttemptId};
-use crate::interface::{Event, Outcome, RequestId, Time};
+use crate::interface::{Event, Outcome, RequestId, Timestamp};
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,28 +36,28 @@
 /// The timers that are set, the earliest first. Timers are not removed when what they are for has
 /// ended; they have no effect then.
 #[derive(Debug, Default)]
-pub(super) struct TimerQueue(BinaryHeap<Reverse<(Time, Timer)>>);
+pub(super) struct TimerQueue(BinaryHeap<Reverse<(Timestamp, Timer)>>);
 
 impl TimerQueue {
     /// Sets a timer.
-    pub fn set(&mut self, at: Time, timer: Timer) {
+    pub fn set(&mut self, at: Timestamp, timer: Timer) {
         self.0.push(Reverse((at, timer)));
     }
 
     /// When the next timer fires.
-    pub fn next_at(&self) -> Option<Time> {
+    pub fn next_at(&self) -> Option<Timestamp> {
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
     /// Takes out the next timer that has fired by now.
-    pub fn pop_expired(&mut self, now: Time) -> Option<Timer> {
+    pub fn pop_expired(&mut self, now: Timestamp) -> Option<Timer> {
         self.next_at().filter(|at| *at <= now)?;
         self.0.pop().map(|Reverse((_, timer))| timer)
     }
 }
 
 impl Core {
-    pub(super) fn fire_timers(&mut self, now: Time) {
+    pub(super) fn fire_timers(&mut self, now: Timestamp) {
         while let Some(timer) = self.timers.pop_expired(now) {
             match timer {
                 Timer::DecisionModule { mark } => self.events.push(Event::Timer { mark }),
--- a/src/core/actor/timers/tests.rs
+++ b/src/core/actor/timers/tests.rs
@@ -15,17 +15,23 @@
     };
     let mut timers = TimerQueue::default();
     for (at, timer) in [(20, expiry), (20, timeout), (30, mark), (20, mark)] {
-        timers.set(Time(at), timer);
+        timers.set(Timestamp::from_micros(at), timer);
     }
-    assert_eq!(timers.next_at(), Some(Time(20)));
-    assert_eq!(timers.pop_expired(Time(19)), None);
+    assert_eq!(timers.next_at(), Some(Timestamp::from_micros(20)));
+    assert_eq!(timers.pop_expired(Timestamp::from_micros(19)), None);
     for expected in [mark, timeout, expiry] {
-        assert_eq!(timers.pop_expired(Time(20)), Some(expected));
+        assert_eq!(
+            timers.pop_expired(Timestamp::from_micros(20)),
+            Some(expected)
+        );
     }
-    assert_eq!(timers.pop_expired(Time(29)), None);
-    assert_eq!(timers.pop_expired(Time(40)), Some(mark));
+    assert_eq!(timers.pop_expired(Timestamp::from_micros(29)), None);
+    assert_eq!(timers.pop_expired(Timestamp::from_micros(40)), Some(mark));
     assert_eq!(
-        (timers.next_at(), timers.pop_expired(Time(99))),
+        (
+            timers.next_at(),
+            timers.pop_expired(Timestamp::from_micros(99))
+        ),
         (None, None)
     );
 }
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -4,7 +4,7 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// The process's clock: Unix time as it was when the process first asked, and monotonic from then
 /// on. Steps of the machine's wall clock don't change it.
@@ -44,21 +44,21 @@
     }
 
     /// An instant, as the decision module's time.
-    pub fn time_at(&self, instant: Instant) -> Time {
-        Time(
+    pub fn time_at(&self, instant: Instant) -> Timestamp {
+        Timestamp::from_micros(
             (self.unix_at_start + instant.saturating_duration_since(self.started_at)).as_micros()
                 as u64,
         )
     }
 
     /// The decision module's time, as an instant.
-    pub fn instant_at(&self, time: Time) -> Instant {
-        self.started_at + Duration::from_micros(time.0).saturating_sub(self.unix_at_start)
+    pub fn instant_at(&self, time: Timestamp) -> Instant {
+        self.started_at + Duration::from_micros(time.as_micros()).saturating_sub(self.unix_at_start)
     }
 
     /// What the machine's wall clock reads now, with any steps that it made. For times that leave
     /// the process, and for calendar dates.
-    pub fn wall_time(&self) -> Time {
-        Time((self.wall)().as_micros() as u64)
+    pub fn wall_time(&self) -> Timestamp {
+        Timestamp::from_micros((self.wall)().as_micros() as u64)
     }
 }
--- a/src/core/in_flight_request.rs
+++ b/src/core/in_flight_request.rs
@@ -6,7 +6,7 @@
 use super::attempt_history::AttemptHistory;
 use super::request_state::{RequestState, TransitionResult};
 use super::{Client, Payload};
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// A request in flight.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     /// The client that waits for it; none where no client can disconnect.
     pub client: Option<Arc<dyn Client>>,
     /// When its client stops waiting.
-    pub expires_at: Time,
+    pub expires_at: Timestamp,
     /// When it had come in completely.
     pub received_at: Instant,
     /// A person waits for it.
--- a/src/core/start_times.rs
+++ b/src/core/start_times.rs
@@ -13,21 +13,21 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{Dur, Entry, ListKind, ReplicaId, State, Time};
+use crate::interface::{Entry, ListKind, ReplicaId, Span, State, Timestamp};
 use crate::lru::LruMap;
 
 /// While the list is watched, a server's start is reported to this process within this time (10 s).
-const MAX_REPORT_DELAY: Dur = Dur(10_000_000);
+const MAX_REPORT_DELAY: Span = Span::from_secs(10);
 /// After a failed call the list may be out of date for this time (30 s).
-const RECOVERY_TIME: Dur = Dur(30_000_000);
+const RECOVERY_TIME: Span = Span::from_secs(30);
 
 /// A server's start.
 #[derive(Clone, Copy, Debug, Default)]
 struct Start {
     /// As the list states it.
-    stated: Time,
+    stated: Timestamp,
     /// On this process's clock.
-    corrected: Time,
+    corrected: Timestamp,
 }
 
 /// Up to when the list is known to have been up to date.
@@ -36,14 +36,14 @@
     /// The last call failed, or its watch broke.
     interrupted: bool,
     /// Until then the list may still be out of date.
-    recovered_at: Time,
+    recovered_at: Timestamp,
     /// When the list was last up to date, except for changes within [`MAX_REPORT_DELAY`].
-    up_to_date_at: Option<Time>,
+    up_to_date_at: Option<Timestamp>,
 }
 
 impl ListFreshness {
     /// An update came from discovery.
-    fn record_update(&mut self, now: Time) {
+    fn record_update(&mut self, now: Timestamp) {
         if std::mem::take(&mut self.interrupted) {
             self.recovered_at = now + RECOVERY_TIME;
         }
@@ -53,9 +53,14 @@
     }
 
     /// The earliest start of a server that was not in the list so far; none where that is not known.
-    fn earliest_join(&self) -> Option<Time> {
-        self.up_to_date_at
-            .map(|up_to_date_at| Time(up_to_date_at.0.saturating_sub(MAX_REPORT_DELAY.0)))
+    fn earliest_join(&self) -> Option<Timestamp> {
+        self.up_to_date_at.map(|up_to_date_at| {
+            Timestamp::from_micros(
+                up_to_date_at
+                    .as_micros()
+                    .saturating_sub(MAX_REPORT_DELAY.as_micros()),
+            )
+        })
     }
 }
 
@@ -67,7 +72,7 @@
     removed: LruMap<ReplicaId, Start>,
     freshness: ListFreshness,
     /// How far the platform's clock is ahead of this process's at least, as first lists have shown.
-    min_clock_lead: Dur,
+    min_clock_lead: Span,
 }
 
 impl StartTimes {
@@ -77,7 +82,7 @@
         &mut self,
         kind: ListKind,
         entries: impl Iterator<Item = &'a mut Entry>,
-        now: Time,
+        now: Timestamp,
     ) {
         if kind == ListKind::Error {
             self.freshness.interrupted = true;
@@ -108,7 +113,12 @@
 
     /// The earliest start of a server that joins with this update; none where it may have started
     /// at any time.
-    fn earliest(&mut self, kind: ListKind, entries: &[&mut Entry], now: Time) -> Option<Time> {
+    fn earliest(
+        &mut self,
+        kind: ListKind,
+        entries: &[&mut Entry],
+        now: Timestamp,
+    ) -> Option<Timestamp> {
         let bound = self
             .freshness
             .earliest_join()
@@ -116,9 +126,9 @@
         let joins = || {
             entries
                 .iter()
-                .filter(|entry| entry.started.0 > 0 && self.known_start(entry).is_none())
+                .filter(|entry| !entry.started.is_zero() && self.known_start(entry).is_none())
         };
-        let earlier = |bound: Time| {
+        let earlier = |bound: Timestamp| {
             joins()
                 .filter(|entry| self.on_this_clock(entry.started) < bound)
                 .count()
@@ -126,7 +136,7 @@
         // A complete list that is mostly new is the list of another fleet: its servers have not all
         // restarted at once.
         let is_replaced =
-            |bound: &Time| kind == ListKind::Complete && earlier(*bound) > entries.len() / 2;
+            |bound: &Timestamp| kind == ListKind::Complete && earlier(*bound) > entries.len() / 2;
         let bound = bound.filter(|bound| !is_replaced(bound));
         if bound.is_none()
             && let Some(newest) = joins().map(|entry| entry.started).max()
@@ -152,11 +162,16 @@
     }
 
     /// A stated start by what is known of the platform's clock. Never zero, which means long ago.
-    fn on_this_clock(&self, stated: Time) -> Time {
-        Time(stated.0.saturating_sub(self.min_clock_lead.0).max(1))
+    fn on_this_clock(&self, stated: Timestamp) -> Timestamp {
+        Timestamp::from_micros(
+            stated
+                .as_micros()
+                .saturating_sub(self.min_clock_lead.as_micros())
+                .max(1),
+        )
     }
 
-    fn correct_entry(&mut self, entry: &mut Entry, earliest: Option<Time>, now: Time) {
+    fn correct_entry(&mut self, entry: &mut Entry, earliest: Option<Timestamp>, now: Timestamp) {
         let known = self.known_start(entry);
         if entry.state == State::Terminated {
             self.listed.remove(&entry.replica);
@@ -179,8 +194,13 @@
 
     /// A start that is not possible is replaced by now: a server that is considered too young gets
     /// less than its capacity for a while, one that is considered too old is overloaded.
-    fn corrected(&self, stated: Time, earliest: Option<Time>, now: Time) -> Time {
-        if stated.0 == 0 {
+    fn corrected(
+        &self,
+        stated: Timestamp,
+        earliest: Option<Timestamp>,
+        now: Timestamp,
+    ) -> Timestamp {
+        if stated.is_zero() {
             return stated;
         }
         let start = self.on_this_clock(stated);
--- a/src/core/start_times/tests.rs
+++ b/src/core/start_times/tests.rs
@@ -7,11 +7,11 @@
 /// When the process started, on its own clock.
 const BEGIN: u64 = 400_000 * HOUR;
 
-fn at(seconds: u64) -> Time {
-    Time(BEGIN + seconds * SECOND)
+fn at(seconds: u64) -> Timestamp {
+    Timestamp::from_micros(BEGIN + seconds * SECOND)
 }
 
-fn entry(id: u64, started: Time) -> Entry {
+fn entry(id: u64, started: Timestamp) -> Entry {
     Entry {
         replica: ReplicaId(id),
         started,
@@ -23,9 +23,9 @@
 fn corrected(
     starts: &mut StartTimes,
     kind: ListKind,
-    entries: &[(u64, Time)],
-    now: Time,
-) -> Vec<Time> {
+    entries: &[(u64, Timestamp)],
+    now: Timestamp,
+) -> Vec<Timestamp> {
     let mut entries: Vec<Entry> = entries
         .iter()
         .map(|&(id, started)| entry(id, started))
@@ -38,9 +38,9 @@
 fn warmed_up() -> StartTimes {
     let mut starts = StartTimes::default();
     let list = [
-        (1, Time(0)),
-        (2, Time(BEGIN - 9 * HOUR)),
-        (3, Time(BEGIN - 8 * HOUR)),
+        (1, Timestamp::ZERO),
+        (2, Timestamp::from_micros(BEGIN - 9 * HOUR)),
+        (3, Timestamp::from_micros(BEGIN - 8 * HOUR)),
     ];
     assert_eq!(
         corrected(&mut starts, ListKind::Complete, &list, at(0)),
@@ -71,7 +71,7 @@
 #[test]
 fn join_hour_behind_starts_now() {
     let mut starts = warmed_up();
-    let stated = Time(BEGIN - HOUR);
+    let stated = Timestamp::from_micros(BEGIN - HOUR);
     assert_eq!(
         corrected(&mut starts, ListKind::Partial, &[(4, stated)], at(5)),
         [at(5)]
@@ -85,12 +85,12 @@
 #[test]
 fn restart_at_same_name_is_join() {
     let mut starts = warmed_up();
-    let again = Time(BEGIN - HOUR);
+    let again = Timestamp::from_micros(BEGIN - HOUR);
     assert_eq!(
         corrected(&mut starts, ListKind::Partial, &[(2, again)], at(5)),
         [at(5)]
     );
-    let once_more = Time(BEGIN - HOUR + 60 * SECOND);
+    let once_more = Timestamp::from_micros(BEGIN - HOUR + 60 * SECOND);
     assert_eq!(
         corrected(&mut starts, ListKind::Partial, &[(2, once_more)], at(65)),
         [at(65)]
@@ -102,12 +102,20 @@
     let mut starts = warmed_up();
     let mut terminated = Entry {
         state: State::Terminated,
-        ..entry(2, Time(BEGIN - 9 * HOUR))
+        ..entry(2, Timestamp::from_micros(BEGIN - 9 * HOUR))
     };
     starts.correct(ListKind::Partial, std::iter::once(&mut terminated), at(5));
     // the third leaves by a complete list that doesn't name it
-    corrected(&mut starts, ListKind::Complete, &[(1, Time(0))], at(10));
-    let returning = [(2, Time(BEGIN - 9 * HOUR)), (3, Time(BEGIN - 8 * HOUR))];
+    corrected(
+        &mut starts,
+        ListKind::Complete,
+        &[(1, Timestamp::ZERO)],
+        at(10),
+    );
+    let returning = [
+        (2, Timestamp::from_micros(BEGIN - 9 * HOUR)),
+        (3, Timestamp::from_micros(BEGIN - 8 * HOUR)),
+    ];
     assert_eq!(
         corrected(&mut starts, ListKind::Partial, &returning, at(60)),
         returning.map(|b| b.1)
@@ -141,8 +149,13 @@
 #[test]
 fn persisted_list_bounds_nothing() {
     let mut starts = StartTimes::default();
-    corrected(&mut starts, ListKind::Persisted, &[(1, Time(0))], at(0));
-    let old = Time(BEGIN - HOUR);
+    corrected(
+        &mut starts,
+        ListKind::Persisted,
+        &[(1, Timestamp::ZERO)],
+        at(0),
+    );
+    let old = Timestamp::from_micros(BEGIN - HOUR);
     assert_eq!(
         corrected(&mut starts, ListKind::Partial, &[(2, old)], at(1)),
         [old]
@@ -158,8 +171,13 @@
 fn repeated_entries_bound_nothing() {
     let mut starts = warmed_up();
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(1, Time(0))], at(100)),
-        [Time(0)]
+        corrected(
+            &mut starts,
+            ListKind::Partial,
+            &[(1, Timestamp::ZERO)],
+            at(100)
+        ),
+        [Timestamp::ZERO]
     );
     assert_eq!(
         corrected(&mut starts, ListKind::Partial, &[(4, at(50))], at(101)),
@@ -173,7 +191,7 @@
     let mut starts = warmed_up();
     let mut terminated = Entry {
         state: State::Terminated,
-        ..entry(2, Time(BEGIN - 9 * HOUR))
+        ..entry(2, Timestamp::from_micros(BEGIN - 9 * HOUR))
     };
     starts.correct(ListKind::Partial, std::iter::once(&mut terminated), at(100));
     assert_eq!(
@@ -186,16 +204,16 @@
 fn future_first_list_shifts_completely() {
     let mut starts = StartTimes::default();
     let list = [
-        (1, Time(0)),
+        (1, Timestamp::ZERO),
         (2, at(3_600)),
         (3, at(3_590)),
-        (4, Time(BEGIN - HOUR)),
+        (4, Timestamp::from_micros(BEGIN - HOUR)),
     ];
     let expected = [
-        Time(0),
+        Timestamp::ZERO,
         at(0),
-        Time(BEGIN - 10 * SECOND),
-        Time(BEGIN - 2 * HOUR),
+        Timestamp::from_micros(BEGIN - 10 * SECOND),
+        Timestamp::from_micros(BEGIN - 2 * HOUR),
     ];
     assert_eq!(
         corrected(&mut starts, ListKind::Complete, &list, at(0)),
@@ -213,9 +231,9 @@
 fn replaced_list_counts_as_first() {
     let mut starts = warmed_up();
     let others = [
-        (5, Time(BEGIN - 3 * HOUR)),
-        (6, Time(BEGIN - 2 * HOUR)),
-        (1, Time(0)),
+        (5, Timestamp::from_micros(BEGIN - 3 * HOUR)),
+        (6, Timestamp::from_micros(BEGIN - 2 * HOUR)),
+        (1, Timestamp::ZERO),
     ];
     assert_eq!(
         corrected(&mut starts, ListKind::Complete, &others, at(50)),
@@ -223,9 +241,9 @@
     );
     // one among those that are known is taken for a join
     let one = [
-        (5, Time(BEGIN - 3 * HOUR)),
-        (6, Time(BEGIN - 2 * HOUR)),
-        (7, Time(BEGIN - HOUR)),
+        (5, Timestamp::from_micros(BEGIN - 3 * HOUR)),
+        (6, Timestamp::from_micros(BEGIN - 2 * HOUR)),
+        (7, Timestamp::from_micros(BEGIN - HOUR)),
     ];
     assert_eq!(
         corrected(&mut starts, ListKind::Complete, &one, at(60))[2],
--- a/src/core/start_times/tests/fleet.rs
+++ b/src/core/start_times/tests/fleet.rs
@@ -34,23 +34,23 @@
 /// A server as it is, beside what the list states.
 #[derive(Clone, Copy, Debug)]
 struct Server {
-    actual: Time,
-    stated: Time,
-    visible_from: Time,
+    actual: Timestamp,
+    stated: Timestamp,
+    visible_from: Timestamp,
     listed: bool,
     left: bool,
 }
 
 /// A fleet, its discovery, and a process that watches it.
 struct Fleet {
-    now: Time,
+    now: Timestamp,
     ahead: i64,
     /// Discovery reports no changes until then.
-    behind_until: Time,
+    behind_until: Timestamp,
     servers: std::collections::BTreeMap<u64, Server>,
     starts: StartTimes,
     /// When discovery last had no change left to report.
-    current: Time,
+    current: Timestamp,
 }
 
 /// A start as the process has it.
@@ -58,17 +58,17 @@
 struct Seen {
     id: u64,
     server: Server,
-    started: Time,
+    started: Timestamp,
     join: bool,
     complete: bool,
     /// When the list was last up to date before.
-    current: Time,
+    current: Timestamp,
 }
 
 impl Fleet {
     fn new() -> Fleet {
         let server = |k: u64| {
-            let stated = Time(if k == 1 { 0 } else { BEGIN - k * HOUR });
+            let stated = Timestamp::from_micros(if k == 1 { 0 } else { BEGIN - k * HOUR });
             (
                 k,
                 Server {
@@ -82,7 +82,7 @@
         };
         let servers: std::collections::BTreeMap<u64, Server> = (1..9).map(server).collect();
         let mut starts = StartTimes::default();
-        let list: Vec<(u64, Time)> = servers
+        let list: Vec<(u64, Timestamp)> = servers
             .iter()
             .map(|(id, server)| (*id, server.stated))
             .collect();
@@ -97,15 +97,18 @@
         }
     }
 
-    fn on_platform(&self, time: Time) -> Time {
-        Time(time.0.saturating_add_signed(self.ahead * SECOND as i64))
+    fn on_platform(&self, time: Timestamp) -> Timestamp {
+        Timestamp::from_micros(
+            time.as_micros()
+                .saturating_add_signed(self.ahead * SECOND as i64),
+        )
     }
 
     fn apply(&mut self, event: &FleetEvent) -> Vec<Seen> {
         match *event {
             FleetEvent::Start { id, lag } => {
                 let (actual, stated) = (self.now, self.on_platform(self.now));
-                let visible_from = self.now + Dur(lag * 1_000);
+                let visible_from = self.now + Span::from_micros(lag * 1_000);
                 self.servers.insert(
                     id,
                     Server {
@@ -125,8 +128,8 @@
             FleetEvent::Outage { down, behind } => {
                 self.starts
                     .correct(ListKind::Error, std::iter::empty(), self.now);
-                self.now = self.now + Dur(down * SECOND);
-                self.behind_until = self.now + Dur(behind * SECOND);
+                self.now = self.now + Span::from_micros(down * SECOND);
+                self.behind_until = self.now + Span::from_micros(behind * SECOND);
             }
             FleetEvent::Step { ahead } => self.ahead = ahead,
             FleetEvent::Update { complete } => return self.update(complete),
@@ -205,7 +208,7 @@
             for seen in fleet.apply(event) {
                 prop_assert_eq!(seen.started, seen.server.stated, "{:?}", seen);
             }
-            fleet.now = fleet.now + Dur(pause * 1_000);
+            fleet.now = fleet.now + Span::from_micros(pause * 1_000);
         }
     }
 
@@ -216,7 +219,7 @@
         events in prop::collection::vec((event(true), 0..4_000u64), 0..80),
     ) {
         let mut fleet = Fleet::new();
-        let mut known: std::collections::BTreeMap<(u64, Time), Time> = std::collections::BTreeMap::new();
+        let mut known: std::collections::BTreeMap<(u64, Timestamp), Timestamp> = std::collections::BTreeMap::new();
         let mut outage = false;
         for (event, pause) in &events {
             outage |= matches!(event, FleetEvent::Outage { .. });
@@ -229,14 +232,14 @@
                 prop_assert!(seen.started <= now, "{:?}", seen);
                 // a complete list of mostly new servers is taken for another list
                 if seen.join && !seen.complete && !outage {
-                    let earliest = seen.current.0 - MAX_REPORT_DELAY.0;
-                    prop_assert!(seen.started.0 >= earliest, "{:?}", seen);
-                    prop_assert!(seen.server.actual.0 >= earliest, "the model is wrong: {:?}", seen);
+                    let earliest = seen.current.as_micros() - MAX_REPORT_DELAY.as_micros();
+                    prop_assert!(seen.started.as_micros() >= earliest, "{:?}", seen);
+                    prop_assert!(seen.server.actual.as_micros() >= earliest, "the model is wrong: {:?}", seen);
                 }
                 let first = *known.entry((seen.id, seen.server.actual)).or_insert(seen.started);
                 prop_assert_eq!(first, seen.started, "{:?}", seen);
             }
-            fleet.now = fleet.now + Dur(pause * 1_000);
+            fleet.now = fleet.now + Span::from_micros(pause * 1_000);
         }
     }
 }
--- a/src/edge/config.rs
+++ b/src/edge/config.rs
@@ -12,7 +12,7 @@
 
 use crate::config::{ConfigError, read_file};
 use crate::identity::{self, Keys};
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::routing::{Catalog, CatalogFault, ModelSpec, Named, Numbers};
 use crate::spend::{Budget, DEPTH, Length, Limit, MOST_TOKENS, Node, Period, Price, TOKEN, Tree};
 
@@ -202,13 +202,13 @@
                 return Err(self.wrong(rate.span(), "a rate goes with tokens (its burst) alone"));
             }
             let rate = self.within(rate, "per_second", 0.001, 1e9)?;
-            let full_in = Dur::from_secs(amount as f64 / TOKEN as f64 / rate);
+            let full_in = Span::from_secs_f64(amount as f64 / TOKEN as f64 / rate);
             let name = b.name.clone().unwrap_or_else(|| "rate".into());
             return Ok(Budget {
                 name,
                 limit: Limit::Drip {
                     amount,
-                    full_in: full_in.max(Dur(1)),
+                    full_in: full_in.max(Span::from_micros(1)),
                 },
             });
         }
@@ -245,7 +245,7 @@
             }
             Some(("drip", _)) => Limit::Drip {
                 amount,
-                full_in: Dur(secs * 1_000_000),
+                full_in: Span::from_micros(secs * 1_000_000),
             },
             Some((_, at)) => return Err(self.wrong(at, "refill must be start or drip")),
         };
@@ -440,7 +440,7 @@
             ModelSpec {
                 name: m.name.clone(),
                 base: m.base.clone(),
-                load: Dur(u64::from(m.load_ms.unwrap_or(0)) * 1000),
+                load: Span::from_micros(u64::from(m.load_ms.unwrap_or(0)) * 1000),
                 window: m.window,
                 max_answer: m.max_answer,
                 fallback: m.fallback.clone(),
--- a/src/edge/members.rs
+++ b/src/edge/members.rs
@@ -16,7 +16,7 @@
 
 use super::Edge;
 use crate::core::{Endpoint, EndpointsUpdate, Message};
-use crate::interface::{ListKind, ReplicaId, State, Time};
+use crate::interface::{ListKind, ReplicaId, State, Timestamp};
 use crate::net::connection_limit::ConnectionLimit;
 use crate::net::http::Buffer;
 use crate::net::http::read_response;
@@ -41,7 +41,7 @@
 /// A host's answer: its names, or none where it doesn't tell.
 struct Told {
     replica: ReplicaId,
-    started: Time,
+    started: Timestamp,
     names: Option<Vec<String>>,
 }
 
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -35,7 +35,7 @@
 use crate::core::Clock;
 use crate::core::CoreHandle;
 use crate::identity::Refused;
-use crate::interface::{Dur, Effect, Time};
+use crate::interface::{Effect, Span, Timestamp};
 use crate::routing::{Catalog, Holdings, Needs, Numbers};
 use crate::spend::{Ledger, Moment, NodeId, TOKEN};
 use config::Book;
@@ -139,7 +139,7 @@
         let classes = config.classes.iter().zip(&config.settings.classes);
         let class = |(name, class): (&String, &crate::interface::Class)| Class {
             name: name.clone(),
-            deadline: Duration::from_micros(class.deadline.0),
+            deadline: Duration::from(class.deadline),
             safe: class.effect == Effect::Safe,
         };
         let first = config
@@ -148,7 +148,7 @@
             .iter()
             .map(|c| c.aim)
             .min()
-            .unwrap_or(Dur(1_000_000));
+            .unwrap_or(Span::from_secs(1));
         let state = State {
             book: Arc::new(book),
             numbers,
@@ -173,7 +173,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn now(&self) -> Time {
+    fn now(&self) -> Timestamp {
         self.clock.time_at(Instant::now())
     }
 
@@ -279,7 +279,7 @@
             .into_iter()
             .map(|report| {
                 let budget = |(name, reading): &(String, crate::spend::Reading)| {
-                    let refills = (reading.refills.0 < u64::MAX).then_some(reading.refills.0 / 1_000_000);
+                    let refills = (reading.refills.as_micros() < u64::MAX).then_some(reading.refills.as_micros() / 1_000_000);
                     json!({"name": name, "limit": reading.limit / TOKEN, "used": whole(reading.spent),
                     "reserved": whole(report.reserved), "refills_at": refills})
                 };
--- a/src/edge/refusals.rs
+++ b/src/edge/refusals.rs
@@ -40,13 +40,13 @@
     let mut e = ApiError::new(429, None, message).code("budget_exhausted");
     // the root's figures tell of other schools
     if *depth > 0 {
-        let window = reading.window.0.div_ceil(1_000_000);
+        let window = reading.window.as_micros().div_ceil(1_000_000);
         let left = reading
             .limit
             .saturating_sub(reading.spent)
             .saturating_sub(*reserved)
             / TOKEN;
-        let reset = (reading.refills - now.wall).0.div_ceil(1_000_000);
+        let reset = (reading.refills - now.wall).as_micros().div_ceil(1_000_000);
         e = e
             .with(
                 "RateLimit-Policy",
@@ -57,5 +57,5 @@
             )
             .with("RateLimit", format!("\"{budget}\";r={left};t={reset}"));
     }
-    e.retry_in(retry_in.map(|d| Duration::from_micros(d.0)))
+    e.retry_in(retry_in.map(Duration::from))
 }
--- a/src/edge/service.rs
+++ b/src/edge/service.rs
@@ -8,14 +8,14 @@
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 use tracing::field::Empty;
-use tracing::{Instrument, Span, debug, info_span, warn};
+use tracing::{Instrument, debug, info_span, warn};
 
 use super::chat::Chat;
 use super::meter::{Event, Meter, Usage};
 use super::{Caller, Edge, exhausted, no_model};
 use crate::api::ApiError;
 use crate::core::{Answer, Chunk, Client, PendingRequest, Request, RequestAttributes};
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::net::upstream::payload;
 use crate::request_ids::RequestIdGuard;
 use crate::routing::{Ask, Catalog, Ended, GaveUp, Leg, NotAsked, Route, Step};
@@ -164,7 +164,7 @@
     model: usize,
     account: Account,
     /// What the log's lines of this RPC stand under.
-    span: Span,
+    span: tracing::Span,
     slice: u64,
     stream: bool,
     usage: bool,
@@ -191,7 +191,7 @@
         self.legs(work, &span).instrument(span.clone()).await
     }
 
-    async fn legs(self: &Arc<Edge>, work: Work, span: &Span) -> Result<Serving, Declined> {
+    async fn legs(self: &Arc<Edge>, work: Work, span: &tracing::Span) -> Result<Serving, Declined> {
         let Work {
             caller,
             chat,
@@ -232,7 +232,7 @@
                     continue;
                 }
                 trace.release();
-                let retry_in = refusal.retry_in.map(|d| Duration::from_micros(d.0));
+                let retry_in = refusal.retry_in.map(Duration::from);
                 debug!(node = refusal.node, budget = refusal.budget, "no budget");
                 let error = exhausted(&refusal, self.moment());
                 return Err(Declined {
@@ -288,7 +288,7 @@
                     forwarded: sent,
                     attempts,
                 } => {
-                    let retry_in = retry_in.map(|d| Dur(d.as_micros() as u64));
+                    let retry_in = retry_in.map(Span::from);
                     Ended {
                         attempts,
                         sent,
@@ -344,7 +344,7 @@
             model,
             prompt: chat.prompt,
             cap: chat.cap,
-            expires: self.clock.time_at(received) + Dur(patience.as_micros() as u64),
+            expires: self.clock.time_at(received) + Span::from(patience),
             attempts: self.attempts,
             safe: self.classes[class].safe,
         };
@@ -421,7 +421,7 @@
 
 /// The one final answer of an RPC that no model of its chain served.
 fn gave_up(gave: &GaveUp) -> Declined {
-    let retry_in = gave.retry_in.map(|d| Duration::from_micros(d.0));
+    let retry_in = gave.retry_in.map(Duration::from);
     let error = match gave {
         GaveUp { no_host: true, .. } => {
             let what =
@@ -519,7 +519,7 @@
     fn cut_off(&mut self, refusal: &Refusal, out: &mut BytesMut) {
         let (prompt, answer) = (self.account.prompt, self.meter.counted());
         let usage = json!({"prompt_tokens": prompt, "completion_tokens": answer, "total_tokens": prompt + answer});
-        let retry_in = refusal.retry_in.map(|d| d.0.div_ceil(1_000_000));
+        let retry_in = refusal.retry_in.map(|d| d.as_micros().div_ceil(1_000_000));
         let why = json!({"code": "budget_exhausted", "node": refusal.node, "budget": refusal.budget,
             "retry_in_s": retry_in});
         let event = |choices: Value| {
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,6 +1,6 @@
 //! Actions: what the decision module orders.
 
-use super::{Dur, ReplicaId, RequestId, Time};
+use super::{ReplicaId, RequestId, Span, Timestamp};
 
 /// What the gateway is to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -12,7 +12,7 @@
         /// Where to.
         replica: ReplicaId,
         /// Give the attempt up after this; none: when the client does.
-        give_up: Option<Dur>,
+        give_up: Option<Span>,
     },
     /// Call an attempt off.
     Cancel {
@@ -26,7 +26,7 @@
         /// The request.
         request: RequestId,
         /// When the client should come back.
-        retry_in: Option<Dur>,
+        retry_in: Option<Span>,
     },
     /// Final answer: failed, with no promise.
     Fail {
@@ -43,7 +43,7 @@
     /// Step again at this time, with an event for it.
     Timer {
         /// When.
-        at: Time,
+        at: Timestamp,
         /// A number that comes back with it.
         mark: u64,
     },
--- a/src/interface/class.rs
+++ b/src/interface/class.rs
@@ -1,6 +1,6 @@
 //! Classes of requests: what their clients expect, what an answer is worth, and what a retry may do.
 
-use super::Dur;
+use super::Span;
 
 /// What a repeat of a request may do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -30,21 +30,21 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// First-token aim (TTFT), before the prompt's part.
-    pub aim: Dur,
+    pub aim: Span,
     /// Added to the aim for each 1,000 prompt tokens.
-    pub aim_per_1000: Dur,
+    pub aim_per_1000: Span,
     /// The aim grows by this multiple of the request's own work, up to the deadline.
     pub aim_stretch: f64,
     /// The aim for the time between tokens (TPOT).
-    pub pace: Dur,
+    pub pace: Span,
     /// How long a client waits over all its tries.
-    pub deadline: Dur,
+    pub deadline: Span,
     /// What a repeat may do.
     pub effect: Effect,
     /// Who drops a keyed request's repeats.
     pub group: Group,
     /// For how long they do, from the send of the first attempt that may have run.
-    pub window: Dur,
+    pub window: Span,
     /// The worth of an answer in time.
     pub worth: f64,
     /// The part of it that a late answer keeps.
@@ -56,14 +56,14 @@
 impl Default for Class {
     fn default() -> Class {
         Class {
-            aim: Dur(1_000_000),
-            aim_per_1000: Dur(0),
+            aim: Span::from_secs(1),
+            aim_per_1000: Span::ZERO,
             aim_stretch: 0.0,
-            pace: Dur(80_000),
-            deadline: Dur(5_000_000),
+            pace: Span::from_millis(80),
+            deadline: Span::from_secs(5),
             effect: Effect::Safe,
             group: Group::All,
-            window: Dur(5_000_000),
+            window: Span::from_secs(5),
             worth: 1.0,
             late_worth: 0.0,
             stream: true,
--- a/src/interface/endpoint_list.rs
+++ b/src/interface/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{Dur, ReplicaId, Time};
+use super::{ReplicaId, Span, Timestamp};
 
 /// The models that a replica serves, and what the first use of one there costs it. A model is a
 /// number that the gateway gave it; 0 stands for whatever the replica has, so requests that name no
@@ -11,13 +11,13 @@
 /// Where nothing was told ([`Models::default`]) a replica takes every model: the platform's lists
 /// name none.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Models(Option<Arc<[(u32, Dur)]>>);
+pub struct Models(Option<Arc<[(u32, Span)]>>);
 
 impl Models {
     /// Just these, each with its time to load; of a model that stands there twice the shorter time
     /// counts.
-    pub fn only(models: impl IntoIterator<Item = (u32, Dur)>) -> Models {
-        let mut models: Vec<(u32, Dur)> = models.into_iter().collect();
+    pub fn only(models: impl IntoIterator<Item = (u32, Span)>) -> Models {
+        let mut models: Vec<(u32, Span)> = models.into_iter().collect();
         models.sort_unstable();
         models.dedup_by_key(|m| m.0);
         Models(Some(models.into()))
@@ -25,13 +25,13 @@
 
     /// How long a model takes to be ready, zero once it is loaded; none where the replica doesn't
     /// serve it.
-    pub fn ready_in(&self, model: u32) -> Option<Dur> {
+    pub fn ready_in(&self, model: u32) -> Option<Span> {
         match &self.0 {
             Some(models) if model != 0 => models
                 .binary_search_by_key(&model, |m| m.0)
                 .ok()
                 .map(|at| models[at].1),
-            _ => Some(Dur(0)),
+            _ => Some(Span::ZERO),
         }
     }
 }
@@ -60,7 +60,7 @@
     /// Its state.
     pub state: State,
     /// When it last started; zero: long ago.
-    pub started: Time,
+    pub started: Timestamp,
     /// Its size beside the others'.
     pub rating: f64,
     /// Its kind of machine; those of one kind are alike in speed for their size.
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{Dur, Entry, ListKind, ReplicaId, RequestId, Time};
+use super::{Entry, ListKind, ReplicaId, RequestId, Span, Timestamp};
 
 /// A client's request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -24,9 +24,9 @@
     /// The most tokens that the answer can have.
     pub cap: u32,
     /// The work expected of it, where told, as time on a standard core.
-    pub hint: Dur,
+    pub hint: Span,
     /// When the client gives this try up.
-    pub valid_until: Time,
+    pub valid_until: Timestamp,
     /// The client flagged it as a repeat.
     pub repeat: bool,
     /// It comes back after its stream broke.
@@ -89,7 +89,7 @@
         /// The attempt's number, from 0.
         trial: u32,
         /// Time since the send.
-        took: Dur,
+        took: Span,
     },
     /// The client has gone; nothing is owed any more.
     Gone {
@@ -105,7 +105,7 @@
         /// How.
         outcome: Outcome,
         /// Time since the send.
-        took: Dur,
+        took: Span,
         /// Prompt tokens that were found kept, where told.
         kept: Option<u32>,
         /// The request is finished.
@@ -120,7 +120,7 @@
         /// How.
         outcome: Outcome,
         /// Time since the probe.
-        took: Dur,
+        took: Span,
         /// The replica's load, where told.
         report: Option<Report>,
     },
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -16,4 +16,4 @@
 pub use event::{Arrival, Event, Outcome, Report};
 pub use ids::{ReplicaId, RequestId};
 pub use settings::{Field, Settings};
-pub use time::{Dur, Time};
+pub use time::{Span, Timestamp};
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,6 +1,6 @@
 //! What the decision module is started with. The settings file and its keys belong to the callers.
 
-use super::{Class, Dur};
+use super::{Class, Span};
 
 /// All that a gateway is told at its start.
 #[derive(Clone, Debug)]
@@ -10,11 +10,11 @@
     /// The zone of this one.
     pub zone: u32,
     /// The least time between two steps.
-    pub period: Dur,
+    pub period: Span,
     /// The list of replicas comes only when asked for.
     pub ask: bool,
     /// A gateway that has not asked for so long counts as told.
-    pub must_ask_in: Dur,
+    pub must_ask_in: Span,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The tenants' shares, in requests a second over all gateways; infinite where there is none.
@@ -34,11 +34,11 @@
     /// Clients are told when to come back.
     pub retry_after: bool,
     /// The longest wait that they heed.
-    pub max_retry_after: Dur,
+    pub max_retry_after: Span,
     /// Attempts a request may have.
     pub max_attempts: u32,
     /// An idle connection is closed after this.
-    pub conn_idle: Dur,
+    pub conn_idle: Span,
     /// Price of an attempt that crosses zones.
     pub cross_price: f64,
     /// Price of a new connection.
@@ -48,15 +48,15 @@
     /// Price of a probe.
     pub probe_price: f64,
     /// Sends to a draining or gone replica end within this.
-    pub drain_grace: Dur,
+    pub drain_grace: Span,
     /// A cold replica falls when sent more than this multiple of what it can do,
     pub fall_multiple: f64,
     /// for so long.
-    pub fall: Dur,
+    pub fall: Span,
     /// It starts at this share of its capacity or more
     pub start_capacity: f64,
     /// and is warm after this.
-    pub warm_after: Dur,
+    pub warm_after: Span,
     /// Ratings in the list are sizes; otherwise they change with the load, too late to go by.
     pub sized: bool,
     /// The values of a load report.
@@ -70,9 +70,9 @@
         Settings {
             instances: 1,
             zone: 0,
-            period: Dur(2_000),
+            period: Span::from_millis(2),
             ask: false,
-            must_ask_in: Dur(10_000_000),
+            must_ask_in: Span::from_secs(10),
             classes: Vec::new(),
             quotas: Vec::new(),
             over_share_worth: 1.0,
@@ -82,18 +82,18 @@
             second_copies: false,
             probes: false,
             retry_after: false,
-            max_retry_after: Dur(0),
+            max_retry_after: Span::ZERO,
             max_attempts: 2,
-            conn_idle: Dur(5_000_000),
+            conn_idle: Span::from_secs(5),
             cross_price: 0.0,
             handshake_price: 0.0,
             waste_price: 0.0,
             probe_price: 0.0,
-            drain_grace: Dur(0),
+            drain_grace: Span::ZERO,
             fall_multiple: 2.0,
-            fall: Dur(1_000_000),
+            fall: Span::from_secs(1),
             start_capacity: 0.1,
-            warm_after: Dur(20_000_000),
+            warm_after: Span::from_secs(20),
             sized: true,
             report: Vec::new(),
             report_in_answers: false,
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -15,7 +15,7 @@
 use tracing::{info, warn};
 
 use crate::core::{DiscoveryCommand, Endpoint, EndpointsUpdate, Message};
-use crate::interface::{Entry, ListKind, State, Time};
+use crate::interface::{Entry, ListKind, State, Timestamp};
 use crate::net::discovery::endpoint_list::zone_number;
 use crate::wire::replica_id;
 
@@ -148,7 +148,9 @@
         zone,
         cell: number(&["cell"], 1e6)?.unwrap_or(0.0) as u32,
         state,
-        started: Time(number(&["up_since_ms"], 1e14)?.unwrap_or(0.0) as u64 * 1000),
+        started: Timestamp::from_micros(
+            number(&["up_since_ms"], 1e14)?.unwrap_or(0.0) as u64 * 1000,
+        ),
         rating: number(&["size", "weight"], 1e6)?.unwrap_or(1.0),
         ..Entry::default()
     };
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -8,7 +8,7 @@
 use tracing::warn;
 
 use crate::core::{Endpoint, EndpointsUpdate};
-use crate::interface::{Entry, ListKind, ReplicaId, State, Time};
+use crate::interface::{Entry, ListKind, ReplicaId, State, Timestamp};
 use crate::wire::replica_id;
 
 const PHASE_SERVING: &str = "SERVING";
@@ -79,7 +79,7 @@
             zone: zone_number(&self.locality, localities),
             cell: self.cell,
             state: self.state(),
-            started: Time(self.up_since_ms.saturating_mul(1000)),
+            started: Timestamp::from_micros(self.up_since_ms.saturating_mul(1000)),
             rating: self.size,
             kind: replica_id(&self.flavor).0 as u32,
             ..Default::default()
--- a/src/ops/exclusions.rs
+++ b/src/ops/exclusions.rs
@@ -7,13 +7,13 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-use crate::interface::{Dur, Entry, ListKind, ReplicaId, State, Time};
+use crate::interface::{Entry, ListKind, ReplicaId, Span, State, Timestamp};
 use crate::lru::LruMap;
 
 /// How long a restored server counts as started at its restoration, where the list reports no start
 /// since the exclusion: 10 minutes. Longer than any configured slow start, so that no server is
 /// remembered for ever.
-const RESTORATION_MEMORY: Dur = Dur(600_000_000);
+const RESTORATION_MEMORY: Span = Span::from_secs(600);
 
 /// An exclusion, or one that ended within the last ten minutes. Inside a process its times are
 /// those of the process's clock; outside, in a file or a message, those of the wall clock as it read
@@ -34,8 +34,11 @@
 impl Exclusion {
     /// The same exclusion with its times on another clock. `from` and `to`: what the two clocks
     /// read now. Ages stay; a time ahead of its clock, which was stepped since, becomes now.
-    pub(super) fn on_clock(self, from: Time, to: Time) -> Exclusion {
-        let converted = |time: u64| to.0.saturating_sub((from - Time(time)).0);
+    pub(super) fn on_clock(self, from: Timestamp, to: Timestamp) -> Exclusion {
+        let converted = |time: u64| {
+            to.as_micros()
+                .saturating_sub((from - Timestamp::from_micros(time)).as_micros())
+        };
         Exclusion {
             excluded_at: converted(self.excluded_at),
             restored_at: self.restored_at.map(converted),
@@ -44,9 +47,9 @@
     }
 
     /// Whether it still changes what the policy sees.
-    fn matters(&self, now: Time) -> bool {
+    fn matters(&self, now: Timestamp) -> bool {
         self.restored_at
-            .is_none_or(|restored| now - Time(restored) < RESTORATION_MEMORY)
+            .is_none_or(|restored| now - Timestamp::from_micros(restored) < RESTORATION_MEMORY)
     }
 }
 
@@ -72,7 +75,7 @@
         &mut self,
         kind: ListKind,
         entries: impl Iterator<Item = &'a mut Entry>,
-        now: Time,
+        now: Timestamp,
     ) {
         if matches!(kind, ListKind::Complete | ListKind::Persisted) {
             self.listed.clear();
@@ -99,8 +102,8 @@
             None if entry.state == State::InService => entry.state = State::Terminating,
             // it may have been restarted during the maintenance without the list reporting it yet:
             // it goes through slow start
-            Some(restored) if entry.started < Time(exclusion.excluded_at) => {
-                entry.started = Time(restored);
+            Some(restored) if entry.started < Timestamp::from_micros(exclusion.excluded_at) => {
+                entry.started = Timestamp::from_micros(restored);
             }
             _ => {}
         }
@@ -119,26 +122,26 @@
     }
 
     /// Excludes a server; what the policy is to see of it now, if it is listed.
-    pub fn exclude(&mut self, replica: ReplicaId, name: &str, now: Time) -> Option<Entry> {
+    pub fn exclude(&mut self, replica: ReplicaId, name: &str, now: Timestamp) -> Option<Entry> {
         let exclusion = self.exclusions.entry(replica).or_insert_with(|| Exclusion {
             name: name.to_string(),
-            excluded_at: now.0,
+            excluded_at: now.as_micros(),
             restored_at: None,
         });
         if exclusion.restored_at.take().is_some() {
-            exclusion.excluded_at = now.0;
+            exclusion.excluded_at = now.as_micros();
         }
         self.effective_entry(replica)
     }
 
     /// Restores a server; what the policy is to see of it now, if it is listed.
-    pub fn restore(&mut self, replica: ReplicaId, now: Time) -> Option<Entry> {
+    pub fn restore(&mut self, replica: ReplicaId, now: Timestamp) -> Option<Entry> {
         let exclusion = self.exclusions.get_mut(&replica)?;
         let start_is_listed = self
             .listed
             .get(&replica)
-            .is_some_and(|entry| entry.started >= Time(exclusion.excluded_at));
-        exclusion.restored_at.get_or_insert(now.0);
+            .is_some_and(|entry| entry.started >= Timestamp::from_micros(exclusion.excluded_at));
+        exclusion.restored_at.get_or_insert(now.as_micros());
         if start_is_listed {
             self.exclusions.remove(&replica);
         }
--- a/src/ops/exclusions/tests.rs
+++ b/src/ops/exclusions/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-const NOW: Time = Time(1_000_000_000);
+const NOW: Timestamp = Timestamp::from_secs(1_000);
 
 fn entry(id: u64, state: State, started: u64) -> Entry {
     Entry {
         replica: ReplicaId(id),
         state,
-        started: Time(started),
+        started: Timestamp::from_micros(started),
         ..Entry::default()
     }
 }
@@ -29,10 +29,10 @@
         &entry(1, State::InService, 0),
     );
     exclusions.exclude(ReplicaId(1), "s-1", NOW);
-    let restored_at = Time(NOW.0 + 5_000_000);
+    let restored_at = Timestamp::from_micros(NOW.as_micros() + 5_000_000);
     assert_eq!(
         exclusions.restore(ReplicaId(1), restored_at),
-        Some(entry(1, State::InService, restored_at.0))
+        Some(entry(1, State::InService, restored_at.as_micros()))
     );
     // an old list changes nothing, one with the start is believed
     let old = entry(1, State::InService, 7);
@@ -40,7 +40,7 @@
         applied(&mut exclusions, ListKind::Partial, &old).started,
         restored_at
     );
-    let restarted = entry(1, State::InService, NOW.0 + 2_000_000);
+    let restarted = entry(1, State::InService, NOW.as_micros() + 2_000_000);
     assert_eq!(
         applied(&mut exclusions, ListKind::Partial, &restarted),
         restarted
@@ -107,7 +107,7 @@
         let mut exclusions = Exclusions::default();
         let mut model: BTreeMap<u64, ModelServer> = BTreeMap::new();
         for (count, (id, step)) in steps.into_iter().enumerate() {
-            let now = Time(NOW.0 + count as u64);
+            let now = Timestamp::from_micros(NOW.as_micros() + count as u64);
             let replica = ReplicaId(id);
             let server = model.entry(id).or_default();
             let seen = match step {
--- a/src/ops/maintenance_state.rs
+++ b/src/ops/maintenance_state.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 use super::exclusions::Exclusion;
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// The version of the file's format.
 const FORMAT_VERSION: u32 = 1;
@@ -36,7 +36,7 @@
 impl MaintenanceState {
     /// The same state with its times on another clock. `from` and `to`: what the two clocks read
     /// now.
-    pub fn on_clock(self, from: Time, to: Time) -> MaintenanceState {
+    pub fn on_clock(self, from: Timestamp, to: Timestamp) -> MaintenanceState {
         MaintenanceState {
             exclusions: self
                 .exclusions
--- a/src/ops/maintenance_state/tests.rs
+++ b/src/ops/maintenance_state/tests.rs
@@ -5,9 +5,12 @@
 const SECOND: u64 = 1_000_000;
 const HOUR: u64 = 3_600 * SECOND;
 /// What the clock of the process that writes reads, and the wall clock then.
-const WRITTEN: (Time, Time) = (Time(1_000 * HOUR), Time(1_007 * HOUR));
+const WRITTEN: (Timestamp, Timestamp) = (
+    Timestamp::from_micros(1_000 * HOUR),
+    Timestamp::from_micros(1_007 * HOUR),
+);
 /// What the clock of the process that reads does.
-const READ: Time = Time(2_000 * HOUR);
+const READ: Timestamp = Timestamp::from_micros(2_000 * HOUR);
 
 #[test]
 fn only_complete_text_is_parsed() {
@@ -41,7 +44,7 @@
 /// For how many seconds after the reading a server counts as just started that was restored so many
 /// seconds before the writing.
 fn slow_start_seconds(seconds_before: u64, wall_at_reading: u64) -> u64 {
-    let restored_at = WRITTEN.0.0 - seconds_before * SECOND;
+    let restored_at = WRITTEN.0.as_micros() - seconds_before * SECOND;
     let exclusion = Exclusion {
         name: "s".into(),
         excluded_at: restored_at - 30 * SECOND,
@@ -54,14 +57,14 @@
     let text = state.on_clock(WRITTEN.0, WRITTEN.1).to_text();
     let read = MaintenanceState::parse(text.as_bytes())
         .unwrap()
-        .on_clock(Time(wall_at_reading), READ);
+        .on_clock(Timestamp::from_micros(wall_at_reading), READ);
     let mut exclusions = Exclusions::new(
         read.exclusions
             .into_iter()
             .map(|exclusion| (ReplicaId(1), exclusion)),
     );
     let starts_slowly = |second: &u64| {
-        let now = Time(READ.0 + second * SECOND);
+        let now = Timestamp::from_micros(READ.as_micros() + second * SECOND);
         let mut entry = Entry {
             replica: ReplicaId(1),
             state: State::InService,
@@ -69,14 +72,14 @@
         };
         exclusions.apply(ListKind::Partial, std::iter::once(&mut entry), now);
         assert!(entry.started <= READ, "a start in the future");
-        entry.started > Time(0)
+        entry.started > Timestamp::ZERO
     };
     (0..2_000).take_while(starts_slowly).count() as u64
 }
 
 #[test]
 fn slow_start_survives_clock_steps() {
-    let wall = WRITTEN.1.0;
+    let wall = WRITTEN.1.as_micros();
     // the writer's wall clock was stepped by hours before it wrote: that changes nothing
     assert_eq!(slow_start_seconds(100, wall), 501);
     // 50 seconds passed between the two
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -9,7 +9,7 @@
 use rustc_hash::FxHashMap;
 
 use super::estimators::running_mean;
-use crate::interface::{Dur, Settings, Time};
+use crate::interface::{Settings, Span, Timestamp};
 
 /// The part of first tokens missed that is overload; fewer misses cut the part admitted by so much
 /// less. Value: a design choice, so that single misses of one faulty replica don't reject a third
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 struct QuotaCredit {
     requests: f64,
-    as_of: Time,
+    as_of: Timestamp,
 }
 
 /// What is admitted, in all and of each model.
@@ -49,8 +49,8 @@
     outcome_spacing: f64,
     /// The running mean of first tokens that missed their objective.
     miss_rate: f64,
-    last_outcome: Time,
-    last_growth: Time,
+    last_outcome: Timestamp,
+    last_growth: Timestamp,
     /// Values of the latest arrivals, the newest first.
     recent_values: VecDeque<f64>,
     quota_credits: Vec<QuotaCredit>,
@@ -59,7 +59,7 @@
 
 impl AdmissionControl {
     /// Everything is admitted at first.
-    pub(super) fn new(settings: &Settings, now: Time) -> Self {
+    pub(super) fn new(settings: &Settings, now: Timestamp) -> Self {
         let empty = QuotaCredit {
             requests: 0.0,
             as_of: now,
@@ -67,7 +67,7 @@
         let objective = settings
             .classes
             .iter()
-            .map(|class| class.aim.secs())
+            .map(|class| class.aim.as_secs_f64())
             .fold(f64::INFINITY, f64::min)
             .clamp(MIN_OBJECTIVE_SECONDS, MAX_OBJECTIVE_SECONDS);
         AdmissionControl {
@@ -92,7 +92,7 @@
         &mut self,
         model: u32,
         settings: &Settings,
-        now: Time,
+        now: Timestamp,
     ) -> &mut AdmissionControl {
         if model == 0 {
             return self;
@@ -103,7 +103,12 @@
     }
 
     /// The weight of a tenant's next request: 1 within its quota at this gateway, less beyond.
-    pub(super) fn tenant_weight(&mut self, settings: &Settings, tenant: usize, now: Time) -> f64 {
+    pub(super) fn tenant_weight(
+        &mut self,
+        settings: &Settings,
+        tenant: usize,
+        now: Timestamp,
+    ) -> f64 {
         let Some(credit) = self.quota_credits.get_mut(tenant) else {
             return 1.0;
         };
@@ -111,10 +116,10 @@
         let longest_objective = settings
             .classes
             .iter()
-            .map(|class| class.aim.secs())
+            .map(|class| class.aim.as_secs_f64())
             .fold(0.0, f64::max);
         let most = (rate * longest_objective).max(1.0);
-        credit.requests = (credit.requests + rate * (now - credit.as_of).secs()).min(most);
+        credit.requests = (credit.requests + rate * (now - credit.as_of).as_secs_f64()).min(most);
         credit.as_of = now;
         if credit.requests >= 1.0 {
             credit.requests -= 1.0;
@@ -127,7 +132,7 @@
     /// Whether a request of this value for its cost is among the part admitted, beside the latest
     /// arrivals. Equal values are told apart by a uniform draw from 0 to 1, or all of them would be
     /// admitted or rejected together.
-    pub(super) fn admits(&mut self, value: f64, uniform: f64, now: Time) -> bool {
+    pub(super) fn admits(&mut self, value: f64, uniform: f64, now: Timestamp) -> bool {
         self.grow(now);
         self.recent_values.push_front(value);
         self.recent_values.truncate(COMPARED_ARRIVALS);
@@ -150,8 +155,8 @@
 
     /// Grows the part admitted with time, not with outcomes: few admitted would mean few to grow
     /// by.
-    fn grow(&mut self, now: Time) {
-        let objectives = (now - self.last_growth).secs() / self.objective;
+    fn grow(&mut self, now: Timestamp) {
+        let objectives = (now - self.last_growth).as_secs_f64() / self.objective;
         self.last_growth = now;
         self.admitted_part = (self.admitted_part
             + objectives / RECOVERY_OBJECTIVES * self.admitted_part.max(0.5))
@@ -159,16 +164,16 @@
     }
 
     /// How long until all are admitted again, at the pace at which the part grows.
-    pub(super) fn time_to_full_admission(&mut self, now: Time) -> Dur {
+    pub(super) fn time_to_full_admission(&mut self, now: Timestamp) -> Span {
         self.grow(now);
-        Dur::from_secs((1.0 - self.admitted_part) * RECOVERY_OBJECTIVES * self.objective)
+        Span::from_secs_f64((1.0 - self.admitted_part) * RECOVERY_OBJECTIVES * self.objective)
     }
 
     /// Records a first token that came in time, or missed its objective. A miss weighs by the
     /// outcomes' spacing, so that an objective's time of misses cuts the part alike at any rate.
-    pub(super) fn record_outcome(&mut self, in_time: bool, now: Time) {
+    pub(super) fn record_outcome(&mut self, in_time: bool, now: Timestamp) {
         self.grow(now);
-        let objectives = (now - self.last_outcome).secs() / self.objective;
+        let objectives = (now - self.last_outcome).as_secs_f64() / self.objective;
         self.last_outcome = now;
         let missed = f64::from(u8::from(!in_time));
         running_mean::update(
--- a/src/policy/arrival.rs
+++ b/src/policy/arrival.rs
@@ -5,7 +5,7 @@
 
 use super::balancer::Balancer;
 use super::in_flight::InFlightRequest;
-use crate::interface::{Action, Arrival, Class, Dur, Time};
+use crate::interface::{Action, Arrival, Class, Span, Timestamp};
 
 /// The part of its priority weight that a client's flagged retry has. Value: a design choice
 /// against retry storms; it has spent much of its latency objective on earlier attempts.
@@ -62,15 +62,17 @@
 
 /// When a request's first token is due: by its class's latency objective, which grows with the
 /// request's own work and its prompt, but never after the client gives up.
-fn first_token_due(arrival: &Arrival, class: &Class, now: Time) -> Time {
+fn first_token_due(arrival: &Arrival, class: &Class, now: Timestamp) -> Timestamp {
     let stretched = class
         .aim
-        .0
-        .saturating_add((class.aim_stretch * arrival.hint.0 as f64) as u64);
+        .as_micros()
+        .saturating_add((class.aim_stretch * arrival.hint.as_micros() as f64) as u64);
     let for_prompt = class
         .aim_per_1000
-        .0
+        .as_micros()
         .saturating_mul(u64::from(arrival.prompt))
         / 1000;
-    (now + Dur(stretched.min(class.deadline.0)) + Dur(for_prompt)).min(arrival.valid_until)
+    (now + Span::from_micros(stretched.min(class.deadline.as_micros()))
+        + Span::from_micros(for_prompt))
+    .min(arrival.valid_until)
 }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -8,7 +8,7 @@
 use super::measurements::REPLICA_SAMPLE_WEIGHT;
 use super::replica::AwaitedFirstToken;
 use super::replica_table::ReplicaIndex;
-use crate::interface::{Action, Arrival, Dur, Outcome, RequestId};
+use crate::interface::{Action, Arrival, Outcome, RequestId, Span};
 
 /// A first token is overdue at this multiple of its predicted time. Value: a prefill model of a
 /// healthy replica errs by less.
@@ -37,7 +37,7 @@
         };
         let attempt = self.new_attempt(&arrival, index);
         let model = self.prefill_model(index);
-        let prefill = Dur::from_secs(OVERDUE_FACTOR * model.seconds(attempt.queued_tokens));
+        let prefill = Span::from_secs_f64(OVERDUE_FACTOR * model.seconds(attempt.queued_tokens));
         let overdue_at = self.now + prefill + attempt.model_load_time;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -123,7 +123,7 @@
         let step = self
             .decode_step(attempt.replica)
             .min(self.decode_steps.full_step(self.now));
-        let pace = self.settings.classes[class as usize].pace.secs();
+        let pace = self.settings.classes[class as usize].pace.as_secs_f64();
         self.record_admission_outcome(model, step <= FULL_STEP_PART * pace);
     }
 
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -17,7 +17,7 @@
 use super::maturity_index::MaturityIndex;
 use super::replica_table::{ReplicaIndex, ReplicaTable};
 use super::request_queue::RequestQueue;
-use crate::interface::{Action, Event, ReplicaId, RequestId, Settings, Time};
+use crate::interface::{Action, Event, ReplicaId, RequestId, Settings, Timestamp};
 use crate::lru::LruMap;
 
 /// What is measured decays to a part of 1/e over so many first-token objectives. Value: about as
@@ -55,7 +55,7 @@
     /// Every random draw comes from here.
     pub(super) rng: StdRng,
     /// The time of the batch being handled.
-    pub(super) now: Time,
+    pub(super) now: Timestamp,
 
     /// Replicas that anything is known of, listed or not. Inserted by `membership`.
     pub(super) replicas: ReplicaTable,
@@ -64,7 +64,7 @@
     /// The replicas in service by weight. Rebuilt by `membership`.
     pub(super) ring: HashRing,
     /// From when on no replica is warming up. Changed by `membership`, read by `slow_start`.
-    pub(super) all_warm_at: Time,
+    pub(super) all_warm_at: Timestamp,
     /// When the endpoint list is polled. Changed by `membership` and each step.
     pub(super) list_poll_timer: ListPollTimer,
     /// Which replicas take requests, and when the others will. Changed by `maturity`.
@@ -100,17 +100,17 @@
     /// Seconds after which a measurement counts for a part of 1/e.
     pub(super) decay_seconds: f64,
     /// The timer that was asked for and has not fired. Changed by `timers`.
-    pub(super) timer: Option<Time>,
+    pub(super) timer: Option<Timestamp>,
 }
 
 impl Balancer {
     /// A balancer that knows nothing yet.
-    pub fn new(settings: Settings, seed: u64, now: Time) -> Balancer {
+    pub fn new(settings: Settings, seed: u64, now: Timestamp) -> Balancer {
         let mut rng = StdRng::seed_from_u64(seed);
         let shortest_pace = settings
             .classes
             .iter()
-            .map(|class| class.pace.secs())
+            .map(|class| class.pace.as_secs_f64())
             .fold(f64::INFINITY, f64::min);
         let admission = AdmissionControl::new(&settings, now);
         let initial = initial_prefill_model(&settings, shortest_pace, admission.objective());
@@ -162,7 +162,7 @@
     }
 
     /// Handles all events of a batch, then sends what can go.
-    pub fn step(&mut self, now: Time, events: &[Event], out: &mut Vec<Action>) {
+    pub fn step(&mut self, now: Timestamp, events: &[Event], out: &mut Vec<Action>) {
         self.now = now;
         for event in events {
             self.handle_event(event, out);
@@ -217,7 +217,7 @@
     let objective_per_1000 = settings
         .classes
         .iter()
-        .map(|class| class.aim_per_1000.secs())
+        .map(|class| class.aim_per_1000.as_secs_f64())
         .fold(0.0, f64::max);
     let base_seconds = shortest_pace.min(objective * INITIAL_STEP_PART);
     LinearModel {
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -2,7 +2,7 @@
 
 use super::balancer::Balancer;
 use super::in_flight::{AttemptPhase, InFlightRequest};
-use crate::interface::{Action, Dur, Effect, Group, RequestId};
+use crate::interface::{Action, Effect, Group, RequestId, Span};
 
 impl Balancer {
     /// Completes a request: rejects it, or fails it where a repeat may do harm, unless it has its
@@ -42,13 +42,13 @@
     }
 
     /// When a client that is rejected should come back: once all of what comes is admitted again.
-    fn retry_after(&mut self, model: u32) -> Option<Dur> {
+    fn retry_after(&mut self, model: u32) -> Option<Span> {
         let admission = self.admission.for_model(model, &self.settings, self.now);
         let recovery = self
             .settings
             .retry_after
             .then(|| admission.time_to_full_admission(self.now))?;
-        Some(recovery.min(self.settings.max_retry_after)).filter(|wait| wait.0 > 0)
+        Some(recovery.min(self.settings.max_retry_after)).filter(|wait| !wait.is_zero())
     }
 
     /// Cancels the attempts of a request whose first tokens have not come.
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -5,7 +5,7 @@
 use super::replica_table::ReplicaIndex;
 use super::request_queue::QueueKey;
 use super::slack_budget::maturity_delay;
-use crate::interface::{Action, Dur, RequestId};
+use crate::interface::{Action, RequestId, Span};
 
 /// Queued requests looked at in one step. Value: a design choice that bounds the work of a step.
 const MAX_QUEUE_SCAN: usize = 32;
@@ -51,7 +51,7 @@
             let delay = maturity_delay(prefill, self.strictest_pace(replica), step);
             // where steps win nothing back the replica waits until the streams on it have ended
             let at = delay.map_or(self.now + self.settings.warm_after, |seconds| {
-                self.now + Dur::from_secs(seconds)
+                self.now + Span::from_secs_f64(seconds)
             });
             self.set_maturity(replica, at);
         }
@@ -66,7 +66,7 @@
         };
         let arrival = request.arrival;
         let priority_weight = request.priority_weight;
-        let remaining = (request.due - self.now).secs();
+        let remaining = (request.due - self.now).as_secs_f64();
         let added_tokens = self.uncached_tokens(&arrival, Some(replica))
             - self.uncached_tokens(&arrival, self.cached_at(&arrival));
         let added_seconds = self.prefix_cache.session_hit_rate()
--- a/src/policy/estimators/decode_steps.rs
+++ b/src/policy/estimators/decode_steps.rs
@@ -3,7 +3,7 @@
 use super::prefill_model::PRIOR_SAMPLES;
 use super::running_mean;
 use super::step_time::StepTimeSums;
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// Weight of a new answer: about the last 32 count. Value: a design choice, not measured alone.
 const SAMPLE_WEIGHT: f64 = 1.0 / 32.0;
@@ -62,7 +62,7 @@
     ///
     /// A limit below its class's highest was set for this answer, which then comes near it; others
     /// stop far earlier, and their times would make steps look short.
-    pub fn record(&mut self, stream: StreamSample, now: Time) -> Option<f64> {
+    pub fn record(&mut self, stream: StreamSample, now: Timestamp) -> Option<f64> {
         let StreamSample {
             class,
             token_limit,
@@ -90,7 +90,7 @@
     }
 
     /// The fleet's mean step, in seconds.
-    pub fn mean_step(&self, now: Time) -> f64 {
+    pub fn mean_step(&self, now: Timestamp) -> f64 {
         self.sums.decayed(now, self.decay_seconds).mean_with_prior(
             self.initial_step / self.step_ratio,
             PRIOR_SAMPLES * self.answer_tokens,
@@ -98,12 +98,12 @@
     }
 
     /// The step of an answer that reaches its limit, in seconds.
-    pub fn full_step(&self, now: Time) -> f64 {
+    pub fn full_step(&self, now: Timestamp) -> f64 {
         self.step_ratio * self.mean_step(now)
     }
 
     /// The fleet's time for a typical answer, in seconds.
-    pub fn typical_answer_seconds(&self, now: Time) -> f64 {
+    pub fn typical_answer_seconds(&self, now: Timestamp) -> f64 {
         self.answer_tokens * self.mean_step(now)
     }
 }
--- a/src/policy/estimators/decode_steps/tests.rs
+++ b/src/policy/estimators/decode_steps/tests.rs
@@ -15,20 +15,20 @@
 fn steps_come_from_limited_answers() {
     let mut steps = DecodeSteps::new(1, 0.04, 1e6);
     assert!(
-        steps.record(stream(0, 400, 1.0), Time(0)).is_none(),
+        steps.record(stream(0, 400, 1.0), Timestamp::ZERO).is_none(),
         "the highest limit shows nothing"
     );
     for _ in 0..200 {
-        steps.record(stream(0, 100, 2.0), Time(0));
-        steps.record(stream(0, 400, 0.1), Time(0));
+        steps.record(stream(0, 100, 2.0), Timestamp::ZERO);
+        steps.record(stream(0, 400, 0.1), Timestamp::ZERO);
     }
     assert!(
-        (steps.mean_step(Time(0)) - 0.02).abs() < 0.002,
+        (steps.mean_step(Timestamp::ZERO) - 0.02).abs() < 0.002,
         "{}",
-        steps.mean_step(Time(0))
+        steps.mean_step(Timestamp::ZERO)
     );
     assert!(
         (0.5..=MAX_STEP_RATIO).contains(&steps.step_ratio)
-            && steps.record(stream(9, 1, 1.0), Time(0)).is_none()
+            && steps.record(stream(9, 1, 1.0), Timestamp::ZERO).is_none()
     );
 }
--- a/src/policy/estimators/load_report.rs
+++ b/src/policy/estimators/load_report.rs
@@ -2,7 +2,7 @@
 //! is asked for is decided in `health_checks`.
 
 use super::running_mean;
-use crate::interface::{Dur, Field, Report, Time};
+use crate::interface::{Field, Report, Span, Timestamp};
 
 /// Weight of a new report in the fleet's means: about the last 32 count. Value: a design choice,
 /// not measured alone.
@@ -13,7 +13,7 @@
 const PRIOR_THROUGHPUT_PART: f64 = 0.5;
 /// A report that has not come after this time is asked for again. Value: a health check's time-out
 /// (0.4 s) and as long again.
-const REPORT_TIMEOUT: Dur = Dur(800_000);
+const REPORT_TIMEOUT: Span = Span::from_millis(800);
 /// Metrics of a report from this on count as unreadable. Value: beyond any load of one machine.
 const MAX_FIGURE: f64 = 1e9;
 
@@ -21,15 +21,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// When the replica last answered a health check; zero before the first answer.
-    answered_at: Time,
+    answered_at: Timestamp,
     /// When the report that is awaited was asked for; zero where none is awaited.
-    requested_at: Time,
+    requested_at: Timestamp,
     /// The share of its slots in use, from 0 to 1.
     utilisation: f64,
     /// Its requests served a second.
     throughput: f64,
     /// When it reported these two; zero before the first time.
-    reported_at: Time,
+    reported_at: Timestamp,
     /// The part of its answers that were errors.
     error_rate: f64,
 }
@@ -53,9 +53,9 @@
         report: Option<Report>,
         fields: &[Field],
         fleet: &mut FleetLoadMeans,
-        now: Time,
+        now: Timestamp,
     ) {
-        (self.answered_at, self.requested_at) = (now, Time(0));
+        (self.answered_at, self.requested_at) = (now, Timestamp::ZERO);
         let Some(report) = report else { return };
         let figure = |field: Field| {
             let position = fields.iter().position(|f| *f == field)?;
@@ -78,24 +78,24 @@
     }
 
     /// Notes that a report was asked for.
-    pub fn mark_requested(&mut self, now: Time) {
+    pub fn mark_requested(&mut self, now: Timestamp) {
         self.requested_at = now;
     }
 
     /// Notes that the report asked for will not come.
     pub fn mark_failed(&mut self) {
-        self.requested_at = Time(0);
+        self.requested_at = Timestamp::ZERO;
     }
 
     /// Whether a report is awaited. One that never comes is not awaited for longer than
     /// [`REPORT_TIMEOUT`], or it would never be asked for again.
-    pub fn is_awaited(&self, now: Time) -> bool {
-        self.requested_at.0 > 0 && now - self.requested_at < REPORT_TIMEOUT
+    pub fn is_awaited(&self, now: Timestamp) -> bool {
+        !self.requested_at.is_zero() && now - self.requested_at < REPORT_TIMEOUT
     }
 
     /// Whether the replica answered a health check less than `age` ago.
-    pub fn is_recent(&self, now: Time, age: Dur) -> bool {
-        self.answered_at.0 > 0 && now - self.answered_at < age
+    pub fn is_recent(&self, now: Timestamp, age: Span) -> bool {
+        !self.answered_at.is_zero() && now - self.answered_at < age
     }
 
     /// The part of its answers that were errors, from 0 to 1.
@@ -105,16 +105,16 @@
 
     /// How much longer requests stay there than at the fleet's mean: 1 where nothing is known, and
     /// again as the report grows older than `decay_seconds`.
-    pub fn slowness(&self, fleet: &FleetLoadMeans, now: Time, decay_seconds: f64) -> f64 {
+    pub fn slowness(&self, fleet: &FleetLoadMeans, now: Timestamp, decay_seconds: f64) -> f64 {
         let prior_throughput = PRIOR_THROUGHPUT_PART * fleet.throughput;
         let mean_stay = fleet.utilisation / fleet.throughput;
-        if self.reported_at.0 == 0 || mean_stay.is_nan() || mean_stay <= 0.0 {
+        if self.reported_at.is_zero() || mean_stay.is_nan() || mean_stay <= 0.0 {
             return 1.0;
         }
         let slowness = (self.utilisation + prior_throughput * mean_stay)
             / (self.throughput + prior_throughput)
             / mean_stay;
-        slowness.powf((-(now - self.reported_at).secs() / decay_seconds).exp())
+        slowness.powf((-(now - self.reported_at).as_secs_f64() / decay_seconds).exp())
     }
 }
 
--- a/src/policy/estimators/load_report/tests.rs
+++ b/src/policy/estimators/load_report/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 const FIELDS: [Field; 4] = [Field::Errors, Field::Served, Field::Util, Field::Other];
-const NOW: Time = Time(1_000_000);
+const NOW: Timestamp = Timestamp::from_secs(1);
 
 /// A replica's report after these, in a fleet of which a hundred others have reported.
 fn recorded(reports: &[Report]) -> (LoadReport, FleetLoadMeans) {
@@ -51,7 +51,7 @@
         assert_eq!(figures(&after), figures(&before), "{bad:?}");
     }
     let (mut replica, mut fleet) = before;
-    let later = NOW + Dur(1_000_000);
+    let later = NOW + Span::from_secs(1);
     replica.record(None, &FIELDS, &mut fleet, later);
     // nor does it make an old report young again
     assert_eq!(
@@ -63,9 +63,10 @@
 #[test]
 fn old_reports_decay() {
     let (replica, fleet) = recorded(&[[0.0, 1.0, 0.4, 0.1]]);
-    let later = |seconds: u64| replica.slowness(&fleet, NOW + Dur(seconds * 1_000_000), 1.0);
+    let later =
+        |seconds: u64| replica.slowness(&fleet, NOW + Span::from_micros(seconds * 1_000_000), 1.0);
     assert!(later(1) < later(0) && later(10) < 1.01);
-    assert!(!replica.is_recent(NOW + Dur(2), Dur(1)));
+    assert!(!replica.is_recent(NOW + Span::from_micros(2), Span::from_micros(1)));
 }
 
 #[test]
@@ -74,5 +75,8 @@
         requested_at: NOW,
         ..LoadReport::default()
     };
-    assert!(replica.is_awaited(NOW + Dur(500_000)) && !replica.is_awaited(NOW + Dur(900_000)));
+    assert!(
+        replica.is_awaited(NOW + Span::from_millis(500))
+            && !replica.is_awaited(NOW + Span::from_millis(900))
+    );
 }
--- a/src/policy/estimators/step_time.rs
+++ b/src/policy/estimators/step_time.rs
@@ -1,28 +1,28 @@
 //! The mean time of a decode step, from the times and tokens of whole streams. Older streams weigh
 //! less. Which streams are taken in is decided by `decode_steps`.
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// Stream time after the first token and tokens, as decaying sums.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StepTimeSums {
     seconds: f64,
     tokens: f64,
-    as_of: Time,
+    as_of: Timestamp,
 }
 
 impl StepTimeSums {
     /// Records a stream's time for its tokens; a stream of `decay_seconds` ago counts for a part of
     /// 1/e.
-    pub fn record(&mut self, seconds: f64, tokens: f64, now: Time, decay_seconds: f64) {
+    pub fn record(&mut self, seconds: f64, tokens: f64, now: Timestamp, decay_seconds: f64) {
         *self = self.decayed(now, decay_seconds);
         self.seconds += seconds;
         self.tokens += tokens;
     }
 
     /// The sums as they count now.
-    pub fn decayed(&self, now: Time, decay_seconds: f64) -> StepTimeSums {
-        let remaining = (-(now - self.as_of).secs() / decay_seconds).exp();
+    pub fn decayed(&self, now: Timestamp, decay_seconds: f64) -> StepTimeSums {
+        let remaining = (-(now - self.as_of).as_secs_f64() / decay_seconds).exp();
         StepTimeSums {
             seconds: self.seconds * remaining,
             tokens: self.tokens * remaining,
--- a/src/policy/estimators/throughput.rs
+++ b/src/policy/estimators/throughput.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use super::prefill_model::{LinearFit, LinearModel};
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// Weight of a new first token in the fleet's fit and in a kind's: about the last 64 count. Value:
 /// a design choice, not measured alone.
@@ -43,11 +43,11 @@
 struct PooledModel {
     fit: LinearFit,
     model: LinearModel,
-    updated_at: Time,
+    updated_at: Timestamp,
 }
 
 impl PooledModel {
-    fn new(model: LinearModel, now: Time) -> PooledModel {
+    fn new(model: LinearModel, now: Timestamp) -> PooledModel {
         PooledModel {
             fit: LinearFit::default(),
             model,
@@ -59,7 +59,7 @@
 impl FleetThroughput {
     /// With the model of a replica of the mean size, which is 1 until sizes are known; what is
     /// learned decays back to it, to a part of 1/e in `decay_seconds`.
-    pub fn new(initial: LinearModel, decay_seconds: f64, now: Time) -> FleetThroughput {
+    pub fn new(initial: LinearModel, decay_seconds: f64, now: Timestamp) -> FleetThroughput {
         FleetThroughput {
             initial,
             decay_seconds,
@@ -96,7 +96,7 @@
     }
 
     /// Records a first token; `typical_tokens` are a prompt's usual uncached tokens.
-    pub fn record(&mut self, sample: PrefillSample, typical_tokens: f64, now: Time) {
+    pub fn record(&mut self, sample: PrefillSample, typical_tokens: f64, now: Timestamp) {
         let PrefillSample {
             kind,
             size,
@@ -125,24 +125,26 @@
 
     /// The model of a replica of the mean size. Without new first tokens it decays to the initial
     /// one: a model beyond every latency objective would let nothing out that could correct it.
-    pub fn fleet_model(&self, now: Time) -> LinearModel {
+    pub fn fleet_model(&self, now: Timestamp) -> LinearModel {
         self.unit_model(now).scaled(1.0 / self.mean_size)
     }
 
     /// The model of a replica of size 1.
-    fn unit_model(&self, now: Time) -> LinearModel {
+    fn unit_model(&self, now: Timestamp) -> LinearModel {
         self.fleet.model.decayed_towards(
             self.initial.scaled(self.mean_size),
-            (now - self.fleet.updated_at).secs() / self.decay_seconds,
+            (now - self.fleet.updated_at).as_secs_f64() / self.decay_seconds,
         )
     }
 
     /// The model of a replica of this kind and size of which nothing else is known.
-    pub fn model_for(&self, kind: u32, size: f64, now: Time) -> LinearModel {
+    pub fn model_for(&self, kind: u32, size: f64, now: Timestamp) -> LinearModel {
         let fleet = self.unit_model(now);
         let kind = self.kinds.get(&kind).map_or(fleet, |pool| {
-            pool.model
-                .decayed_towards(fleet, (now - pool.updated_at).secs() / self.decay_seconds)
+            pool.model.decayed_towards(
+                fleet,
+                (now - pool.updated_at).as_secs_f64() / self.decay_seconds,
+            )
         });
         kind.scaled(1.0 / size)
     }
--- a/src/policy/estimators/throughput/tests.rs
+++ b/src/policy/estimators/throughput/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const NOW: Time = Time(1_000_000);
+const NOW: Timestamp = Timestamp::from_secs(1);
 const INITIAL: LinearModel = LinearModel {
     seconds_per_token: 1e-4,
     base_seconds: 0.01,
@@ -57,7 +57,7 @@
 #[test]
 fn models_decay_to_the_initial() {
     let throughput = measured(60);
-    let later = Time(NOW.0 + 60_000_000);
+    let later = Timestamp::from_micros(NOW.as_micros() + 60_000_000);
     let fleet = throughput.fleet_model(later).seconds(500.0);
     assert!((fleet / INITIAL.seconds(500.0) - 1.0).abs() < 1e-6);
     let small = throughput.model_for(7, 2.0, later).seconds(500.0);
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -4,7 +4,7 @@
 use super::balancer::Balancer;
 use super::replica_table::ReplicaIndex;
 use super::selection::Candidate;
-use crate::interface::{Action, Dur, Outcome, ReplicaId, Report, RequestId};
+use crate::interface::{Action, Outcome, ReplicaId, Report, RequestId, Span};
 
 /// Candidates whose load is asked for ahead of one request. Value: two and four did worse on the
 /// platform's bench (docs/design/large-fleets.md).
@@ -30,8 +30,8 @@
         candidates: &[Candidate],
         out: &mut Vec<Action>,
     ) -> Option<ReplicaIndex> {
-        let recent = Dur::from_secs(RECENT_OBJECTIVES * self.admission.objective());
-        let report_wait = Dur::from_secs(REPORT_WAIT_PART * self.admission.objective());
+        let recent = Span::from_secs_f64(RECENT_OBJECTIVES * self.admission.objective());
+        let report_wait = Span::from_secs_f64(REPORT_WAIT_PART * self.admission.objective());
         let candidates = &candidates[..candidates.len().min(CHECKED_CANDIDATES)];
         let request = self.requests.get_mut(&id)?;
         if request.candidates.is_empty() {
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -3,7 +3,7 @@
 
 use super::estimators::prefix_cache::CacheEstimate;
 use super::replica_table::ReplicaIndex;
-use crate::interface::{Arrival, Dur, Outcome, RequestId, Time};
+use crate::interface::{Arrival, Outcome, RequestId, Span, Timestamp};
 
 /// What an attempt is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -11,7 +11,7 @@
     /// Sent; its first token has not come.
     AwaitingFirstToken,
     /// Its first token came at this time.
-    Streaming { since: Time },
+    Streaming { since: Timestamp },
     /// It has ended; `never_ran`: the replica is certain not to have run it.
     Ended { never_ran: bool },
 }
@@ -22,7 +22,7 @@
     /// The replica's index.
     pub(super) replica: ReplicaIndex,
     /// When it was sent.
-    pub(super) sent_at: Time,
+    pub(super) sent_at: Timestamp,
     /// Uncached prompt tokens that the replica had to prefill for its first token, this request's
     /// and those of attempts waiting ahead of it.
     pub(super) queued_tokens: f64,
@@ -31,7 +31,7 @@
     /// What the replica was expected to have cached of the prompt.
     pub(super) cache_estimate: CacheEstimate,
     /// How long the replica had to load the model first.
-    pub(super) model_load_time: Dur,
+    pub(super) model_load_time: Span,
     /// What it is doing.
     pub(super) phase: AttemptPhase,
 }
@@ -46,7 +46,7 @@
     /// How.
     pub(super) outcome: Outcome,
     /// Time since the send.
-    pub(super) took: Dur,
+    pub(super) took: Span,
     /// Prompt tokens that the replica reported as cached.
     pub(super) cached_tokens: Option<u32>,
     /// The request is complete with it.
@@ -70,10 +70,10 @@
     /// The request as it arrived.
     pub(super) arrival: Arrival,
     /// When its first token has to come: its latency objective. The queue is ordered by it.
-    pub(super) due: Time,
+    pub(super) due: Timestamp,
     /// When it is rejected unless an attempt was sent: `due`, or later where a late answer is worth
     /// something.
-    pub(super) expires: Time,
+    pub(super) expires: Timestamp,
     /// Its priority weight: what an answer in time is worth.
     pub(super) priority_weight: f64,
     /// The client still waits for a final answer.
@@ -85,14 +85,14 @@
     /// Candidates whose load reports are awaited; empty where none are.
     pub(super) candidates: Vec<ReplicaIndex>,
     /// Since when those reports are awaited.
-    pub(super) candidates_since: Time,
+    pub(super) candidates_since: Timestamp,
     /// How often candidates were drawn for the present attempt.
     pub(super) candidate_rounds: u32,
 }
 
 impl InFlightRequest {
     /// A request that has just arrived, with the time that its first token is due.
-    pub(super) fn new(arrival: Arrival, due: Time, now: Time) -> InFlightRequest {
+    pub(super) fn new(arrival: Arrival, due: Timestamp, now: Timestamp) -> InFlightRequest {
         InFlightRequest {
             arrival,
             due,
--- a/src/policy/list_poll_timer.rs
+++ b/src/policy/list_poll_timer.rs
@@ -1,18 +1,18 @@
 //! When discovery is polled for the endpoint list, where the list comes only when asked for. Pure:
 //! time and random draws come in as values. It knows nothing of the list itself.
 
-use crate::interface::{Dur, Settings, Time};
+use crate::interface::{Settings, Span, Timestamp};
 
 /// What each gateway's poll takes of the time over which polls are spread after a failure. Value:
 /// so that all gateways' polls don't reach a discovery service, which is late already, at once.
-const SPREAD_PER_GATEWAY: Dur = Dur(5_000);
+const SPREAD_PER_GATEWAY: Span = Span::from_millis(5);
 /// The longest backoff after a failed poll, however many have failed and however large the fleet.
 /// Value: a change counts as notified 6 s after discovery could be reached: a poll that fails late
 /// (1 s), two such backoffs and another poll between them fit in.
-const MAX_BACKOFF: Dur = Dur(1_500_000);
+const MAX_BACKOFF: Span = Span::from_millis(1_500);
 /// The latest first poll, whatever time the settings allow. Value: the bound above is met by a
 /// process that has just started too.
-const MAX_FIRST_DELAY: Dur = Dur(2_500_000);
+const MAX_FIRST_DELAY: Span = Span::from_millis(2_500);
 /// Failures in a row that still double the backoff. Value: the least backoff is 1/64 of the
 /// time allowed or more and the longest 1/2 of it or less, so five doublings reach the longest.
 const MAX_DOUBLINGS: u32 = 5;
@@ -21,23 +21,30 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListPollTimer {
     enabled: bool,
-    min_backoff: Dur,
-    max_backoff: Dur,
+    min_backoff: Span,
+    max_backoff: Span,
     consecutive_failures: u32,
-    next: Option<Time>,
+    next: Option<Timestamp>,
 }
 
 impl ListPollTimer {
     /// The first poll comes within a quarter of the time allowed and [`MAX_FIRST_DELAY`], by a
     /// uniform draw from 0 to 1, so that gateways which start together don't poll together.
-    pub(super) fn new(settings: &Settings, uniform: f64, now: Time) -> ListPollTimer {
-        let allowed = settings.must_ask_in.0;
-        let max_backoff = MAX_BACKOFF.min(Dur(allowed / 2));
-        let spread = (allowed / 64).max(SPREAD_PER_GATEWAY.0 * u64::from(settings.instances));
-        let first = now + Dur::from_secs(uniform * MAX_FIRST_DELAY.min(Dur(allowed / 4)).secs());
+    pub(super) fn new(settings: &Settings, uniform: f64, now: Timestamp) -> ListPollTimer {
+        let allowed = settings.must_ask_in.as_micros();
+        let max_backoff = MAX_BACKOFF.min(Span::from_micros(allowed / 2));
+        let spread =
+            (allowed / 64).max(SPREAD_PER_GATEWAY.as_micros() * u64::from(settings.instances));
+        let first = now
+            + Span::from_secs_f64(
+                uniform
+                    * MAX_FIRST_DELAY
+                        .min(Span::from_micros(allowed / 4))
+                        .as_secs_f64(),
+            );
         ListPollTimer {
             enabled: settings.ask,
-            min_backoff: Dur(spread).min(max_backoff),
+            min_backoff: Span::from_micros(spread).min(max_backoff),
             max_backoff,
             consecutive_failures: 0,
             next: settings.ask.then_some(first),
@@ -46,12 +53,13 @@
 
     /// A poll failed or the watch broke: it is polled again, soon at first, then later, with jitter
     /// by a uniform draw from 0 to 1.
-    pub(super) fn poll_failed(&mut self, uniform: f64, now: Time) {
+    pub(super) fn poll_failed(&mut self, uniform: f64, now: Timestamp) {
         self.consecutive_failures = (self.consecutive_failures + 1).min(MAX_DOUBLINGS);
-        let backoff = Dur(self.min_backoff.0 << self.consecutive_failures).min(self.max_backoff);
+        let backoff = Span::from_micros(self.min_backoff.as_micros() << self.consecutive_failures)
+            .min(self.max_backoff);
         self.next = self
             .enabled
-            .then(|| now + Dur::from_secs((0.5 + uniform / 2.0) * backoff.secs()));
+            .then(|| now + Span::from_secs_f64((0.5 + uniform / 2.0) * backoff.as_secs_f64()));
     }
 
     /// Discovery has answered.
@@ -60,12 +68,12 @@
     }
 
     /// Whether a poll is due; it counts as made.
-    pub(super) fn take_due(&mut self, now: Time) -> bool {
+    pub(super) fn take_due(&mut self, now: Timestamp) -> bool {
         self.next.take_if(|at| *at <= now).is_some()
     }
 
     /// When the next poll is due.
-    pub(super) fn next(&self) -> Option<Time> {
+    pub(super) fn next(&self) -> Option<Timestamp> {
         self.next
     }
 }
--- a/src/policy/list_poll_timer/tests.rs
+++ b/src/policy/list_poll_timer/tests.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 /// A discovery's own time-out: a poll at one that is late fails so long after it was made.
-const POLL_TIMEOUT: Dur = Dur(1_000_000);
+const POLL_TIMEOUT: Span = Span::from_secs(1);
 /// A change counts as notified so long after discovery can be reached.
-const NOTIFICATION_BOUND: Dur = Dur(6_000_000);
+const NOTIFICATION_BOUND: Span = Span::from_secs(6);
 
 fn timer(instances: u32, must_ask_in: u64, draw: f64) -> ListPollTimer {
     let set = Settings {
         ask: true,
         instances,
-        must_ask_in: Dur(must_ask_in),
+        must_ask_in: Span::from_micros(must_ask_in),
         ..Settings::default()
     };
-    ListPollTimer::new(&set, draw, Time(0))
+    ListPollTimer::new(&set, draw, Timestamp::ZERO)
 }
 
 proptest! {
@@ -28,7 +28,7 @@
         back_in in 0u64..60_000_000,
         last_fails in any::<bool>(),
     ) {
-        let (mut timer, mut now, back) = (timer(instances, must_ask_in, draws[0]), Time(0), Time(back_in));
+        let (mut timer, mut now, back) = (timer(instances, must_ask_in, draws[0]), Timestamp::ZERO, Timestamp::from_micros(back_in));
         now = timer.next().unwrap_or(now);
         prop_assert!(timer.take_due(now));
         let (mut failed_since, mut turn) = (false, 0);
@@ -54,9 +54,9 @@
         .map(|k| {
             let draw = f64::from(k * 7919 % 300) / 300.0;
             let mut timer = timer(300, 10_000_000, draw);
-            timer.take_due(Time(9_000_000));
-            timer.poll_failed(draw, Time(10_000_000));
-            timer.next().map_or(0, |at| at.0)
+            timer.take_due(Timestamp::from_secs(9));
+            timer.poll_failed(draw, Timestamp::from_secs(10));
+            timer.next().map_or(0, |at| at.as_micros())
         })
         .collect();
     polls.sort_unstable();
--- a/src/policy/maturity.rs
+++ b/src/policy/maturity.rs
@@ -3,7 +3,7 @@
 
 use super::balancer::Balancer;
 use super::replica_table::ReplicaIndex;
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 
 /// Faults in a row that still double the backoff. Value: a design choice; 64 times the first token
 /// of a typical request.
@@ -16,7 +16,7 @@
     }
 
     /// Sets when a replica is mature.
-    pub(super) fn set_maturity(&mut self, index: ReplicaIndex, at: Time) {
+    pub(super) fn set_maturity(&mut self, index: ReplicaIndex, at: Timestamp) {
         self.maturity.remove(&mut self.replicas, index);
         self.replicas[index].maturity = at;
         self.maturity.file(&mut self.replicas, index, self.now);
@@ -34,7 +34,7 @@
         let replica = &mut self.replicas[index];
         replica.consecutive_failures = (replica.consecutive_failures + 1).min(MAX_DOUBLINGS);
         let backoff = least * f64::from(1 << replica.consecutive_failures);
-        let at = (self.now + Dur::from_secs(backoff)).max(replica.maturity);
+        let at = (self.now + Span::from_secs_f64(backoff)).max(replica.maturity);
         self.set_maturity(index, at);
     }
 }
--- a/src/policy/maturity_index.rs
+++ b/src/policy/maturity_index.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeSet;
 
 use super::replica_table::{ReplicaIndex, ReplicaTable};
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// A replica that is not mature yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct MaturingReplica {
-    at: Time,
+    at: Timestamp,
     index: ReplicaIndex,
 }
 
@@ -33,7 +33,7 @@
     }
 
     /// When the next replica matures.
-    pub(super) fn next(&self) -> Option<Time> {
+    pub(super) fn next(&self) -> Option<Timestamp> {
         self.maturing.first().map(|replica| replica.at)
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Files the replicas that have matured since among the mature ones.
-    pub(super) fn promote(&mut self, replicas: &mut ReplicaTable, now: Time) {
+    pub(super) fn promote(&mut self, replicas: &mut ReplicaTable, now: Timestamp) {
         while let Some(&next) = self.maturing.first()
             && next.at <= now
         {
@@ -65,7 +65,12 @@
     }
 
     /// Files a replica among the mature or the maturing ones, or neither if it is not in service.
-    pub(super) fn file(&mut self, replicas: &mut ReplicaTable, index: ReplicaIndex, now: Time) {
+    pub(super) fn file(
+        &mut self,
+        replicas: &mut ReplicaTable,
+        index: ReplicaIndex,
+        now: Timestamp,
+    ) {
         self.remove_mature(replicas, index);
         let replica = &mut replicas[index];
         if !replica.is_in_service() {
@@ -83,7 +88,7 @@
     }
 
     /// Files all replicas anew.
-    pub(super) fn rebuild(&mut self, replicas: &mut ReplicaTable, now: Time) {
+    pub(super) fn rebuild(&mut self, replicas: &mut ReplicaTable, now: Timestamp) {
         self.mature.clear();
         self.maturing.clear();
         for index in replicas.indices() {
--- a/src/policy/maturity_index/tests.rs
+++ b/src/policy/maturity_index/tests.rs
@@ -7,11 +7,11 @@
     for n in 0..count {
         replicas.push(ReplicaState {
             listed: true,
-            maturity: Time(n * 1_000_000),
+            maturity: Timestamp::from_micros(n * 1_000_000),
             ..ReplicaState::default()
         });
     }
-    index.rebuild(&mut replicas, Time(0));
+    index.rebuild(&mut replicas, Timestamp::ZERO);
     (index, replicas)
 }
 
@@ -29,12 +29,12 @@
     let (mut index, mut replicas) = filed(4);
     assert_eq!(
         (index.mature().len(), index.next()),
-        (1, Some(Time(1_000_000)))
+        (1, Some(Timestamp::from_secs(1)))
     );
-    index.promote(&mut replicas, Time(2_000_000));
+    index.promote(&mut replicas, Timestamp::from_secs(2));
     assert_eq!(
         (index.mature().len(), index.next()),
-        (3, Some(Time(3_000_000)))
+        (3, Some(Timestamp::from_secs(3)))
     );
     assert_positions(&index, &replicas);
 }
@@ -42,12 +42,12 @@
 #[test]
 fn removal_keeps_other_positions() {
     let (mut index, mut replicas) = filed(4);
-    index.promote(&mut replicas, Time(3_000_000));
+    index.promote(&mut replicas, Timestamp::from_secs(3));
     let first = index.mature()[0];
     index.remove(&mut replicas, first);
     assert_eq!(index.mature().len(), 3);
     assert_positions(&index, &replicas);
     replicas[first].listed = false;
-    index.file(&mut replicas, first, Time(9_000_000));
+    index.file(&mut replicas, first, Timestamp::from_secs(9));
     assert_eq!((index.mature().len(), index.next()), (3, None));
 }
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -33,12 +33,12 @@
             _ => end.took,
         };
         // a model's load is no prefill
-        if attempt.model_load_time.0 == 0 {
+        if attempt.model_load_time.is_zero() {
             let tokens = attempt.queued_tokens - attempt.uncached_tokens + prefilled;
-            self.record_prefill(index, tokens, first_token_after.secs());
+            self.record_prefill(index, tokens, first_token_after.as_secs_f64());
         }
         if let AttemptPhase::Streaming { since } = attempt.phase {
-            self.record_stream(index, arrival, (self.now - since).secs());
+            self.record_stream(index, arrival, (self.now - since).as_secs_f64());
         }
         if let Some(cached) = end.cached_tokens {
             let estimate = attempt.cache_estimate;
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -8,7 +8,7 @@
 use super::hash_ring::{HashRing, RingMember};
 use super::replica::ReplicaState;
 use super::replica_table::ReplicaIndex;
-use crate::interface::{Action, Dur, Entry, ListKind, RequestId};
+use crate::interface::{Action, Entry, ListKind, RequestId, Span};
 
 impl Balancer {
     /// The endpoint list came, or a change to it, or a poll for it failed.
@@ -58,7 +58,7 @@
         }));
         let last_start = in_service()
             .map(|(_, replica)| replica.entry.started)
-            .filter(|started| started.0 > 0)
+            .filter(|started| !started.is_zero())
             .max();
         self.all_warm_at = last_start.map_or(self.now, |at| at + self.settings.warm_after);
     }
@@ -139,12 +139,12 @@
     }
 
     /// The mean time until the replicas in service are mature, so that a new one is no exception.
-    fn mean_time_to_maturity(&self) -> Dur {
+    fn mean_time_to_maturity(&self) -> Span {
         let in_service = self.replicas.iter().filter(|r| r.is_in_service());
         let (sum, count) = in_service
-            .map(|replica| (replica.maturity - self.now).0)
+            .map(|replica| (replica.maturity - self.now).as_micros())
             .fold((0, 0), |(sum, count), wait| (sum + wait, count + 1));
-        Dur(sum / count.max(1))
+        Span::from_micros(sum / count.max(1))
     }
 
     /// An index that a new replica can use again: that of one which has left the list, once no
--- a/src/policy/predictions.rs
+++ b/src/policy/predictions.rs
@@ -5,7 +5,7 @@
 use super::estimators::prefill_model::LinearModel;
 use super::replica_table::ReplicaIndex;
 use super::slack_budget::slack_budget;
-use crate::interface::{Class, Dur};
+use crate::interface::{Class, Span};
 
 /// A replica's slowness beside the fleet decays so many times later than the fleet's figures.
 /// Value: a design choice, as kinds of machines don't change.
@@ -17,12 +17,12 @@
 impl Balancer {
     /// The shortest span of the classes that have requests among these counts, in seconds; infinite
     /// where none has.
-    fn strictest(&self, counts: &[u32], span: fn(&Class) -> Dur) -> f64 {
+    fn strictest(&self, counts: &[u32], span: fn(&Class) -> Span) -> f64 {
         counts
             .iter()
             .zip(&self.settings.classes)
             .filter(|(count, _)| **count > 0)
-            .map(|(_, class)| span(class).secs())
+            .map(|(_, class)| span(class).as_secs_f64())
             .fold(f64::INFINITY, f64::min)
     }
 
@@ -77,7 +77,7 @@
     pub(super) fn measurement_age(&self, index: ReplicaIndex) -> f64 {
         let replica = &self.replicas[index];
         if replica.has_answered {
-            (self.now - replica.measured_at).secs() / self.decay_seconds
+            (self.now - replica.measured_at).as_secs_f64() / self.decay_seconds
         } else {
             f64::INFINITY
         }
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -3,7 +3,7 @@
 
 use super::balancer::Balancer;
 use super::request_queue::QueueKey;
-use crate::interface::{Action, Dur, RequestId};
+use crate::interface::{Action, RequestId, Span};
 
 impl Balancer {
     /// Puts a request in the queue, by the time it is due.
@@ -60,7 +60,7 @@
         let Some(arrival) = self.requests.get(&key.request).map(|r| &r.arrival) else {
             return true;
         };
-        let is_late = |seconds: f64| self.now + Dur::from_secs(seconds) > key.due;
+        let is_late = |seconds: f64| self.now + Span::from_secs_f64(seconds) > key.due;
         let cached_at = self
             .likely_cached_at(arrival)
             .into_iter()
--- a/src/policy/replica.rs
+++ b/src/policy/replica.rs
@@ -7,7 +7,7 @@
 use super::estimators::load_report::LoadReport;
 use super::estimators::prefill_model::{LinearFit, LinearModel};
 use super::estimators::step_time::StepTimeSums;
-use crate::interface::{Dur, Entry, RequestId, State, Time};
+use crate::interface::{Entry, RequestId, Span, State, Timestamp};
 
 /// An attempt whose first token has not come.
 #[derive(Clone, Copy, Debug)]
@@ -17,7 +17,7 @@
     /// The attempt's number.
     pub(super) attempt: usize,
     /// From when on the first token counts as overdue.
-    pub(super) overdue_at: Time,
+    pub(super) overdue_at: Timestamp,
 }
 
 /// A replica as this gateway sees it.
@@ -32,13 +32,13 @@
     /// The model through them, as of the last one.
     pub(super) prefill_model: LinearModel,
     /// When the last of them was taken in.
-    pub(super) measured_at: Time,
+    pub(super) measured_at: Timestamp,
     /// Whether an attempt of this gateway ever had a first token here.
     pub(super) has_answered: bool,
     /// Decode steps measured here, beside the fleet's.
     pub(super) step_time: StepTimeSums,
     /// From when on it takes requests again.
-    pub(super) maturity: Time,
+    pub(super) maturity: Timestamp,
     /// Its position among the mature replicas, while it is one.
     pub(super) mature_position: Option<usize>,
     /// Attempts whose first tokens have not come, in the order of their sends.
@@ -50,7 +50,7 @@
     /// Attempts in flight.
     pub(super) in_flight: u32,
     /// Since when each idle connection to it is idle, the latest last.
-    pub(super) idle_connections: VecDeque<Time>,
+    pub(super) idle_connections: VecDeque<Timestamp>,
     /// Faults in a row.
     pub(super) consecutive_failures: u32,
     /// The running mean of attempts that failed, from 0 to 1.
@@ -78,7 +78,7 @@
     }
 
     /// Whether a load report or a first token of it is younger than `age`.
-    pub(super) fn has_recent_data(&self, now: Time, age: Dur) -> bool {
+    pub(super) fn has_recent_data(&self, now: Timestamp, age: Span) -> bool {
         self.load_report.is_recent(now, age) || (self.has_answered && now - self.measured_at < age)
     }
 
--- a/src/policy/request_queue.rs
+++ b/src/policy/request_queue.rs
@@ -3,12 +3,12 @@
 
 use std::collections::BTreeSet;
 
-use crate::interface::{RequestId, Time};
+use crate::interface::{RequestId, Timestamp};
 
 /// A request's place in the queue: by the time its first token is due, then by its id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
-    pub(super) due: Time,
+    pub(super) due: Timestamp,
     pub(super) request: RequestId,
 }
 
--- a/src/policy/request_queue/tests.rs
+++ b/src/policy/request_queue/tests.rs
@@ -2,7 +2,7 @@
 
 fn key(due: u64, request: u32) -> QueueKey {
     QueueKey {
-        due: Time(due),
+        due: Timestamp::from_micros(due),
         request: RequestId(request),
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -58,7 +58,7 @@
         out: &mut Vec<Action>,
     ) -> Option<ReplicaIndex> {
         let request = self.requests.get(&id)?;
-        let (arrival, remaining) = (request.arrival, (request.due - self.now).secs());
+        let (arrival, remaining) = (request.arrival, (request.due - self.now).as_secs_f64());
         let (awaited, slot) = (request.candidates.clone(), request.slow_start_slot);
         // a slow-start slot is taken where that is in time at the replica's present capacity
         if let Some(replica) = slot.filter(|&replica| self.is_mature(replica))
@@ -148,10 +148,12 @@
         if overdue || (dispatched > 0.0 && dispatched + tokens > self.slack_budget(replica)) {
             return None;
         }
-        let objective = self.settings.classes[arrival.class as usize].aim.secs();
-        let wait = (state.maturity - self.now).secs();
+        let objective = self.settings.classes[arrival.class as usize]
+            .aim
+            .as_secs_f64();
+        let wait = (state.maturity - self.now).as_secs_f64();
         let model = self.prefill_model(replica);
-        let time = wait + load.secs() + model.seconds(tokens + state.awaited_tokens);
+        let time = wait + load.as_secs_f64() + model.seconds(tokens + state.awaited_tokens);
         let prefill = PREFILL_WEIGHT
             * self.prefix_cache.session_hit_rate()
             * model.seconds_per_token
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -17,7 +17,7 @@
     /// Whether a replica is warming up.
     pub(super) fn is_warming_up(&self, index: ReplicaIndex) -> bool {
         let started = self.replicas[index].entry.started;
-        started.0 > 0 && self.now - started < self.settings.warm_after
+        !started.is_zero() && self.now - started < self.settings.warm_after
     }
 
     /// A replica's present capacity, as a part of its capacity once warm.
@@ -25,8 +25,12 @@
         if !self.is_warming_up(index) {
             return 1.0;
         }
-        let age = (self.now - self.replicas[index].entry.started).secs()
-            / self.settings.warm_after.secs().max(MIN_WARM_UP_SECONDS);
+        let age = (self.now - self.replicas[index].entry.started).as_secs_f64()
+            / self
+                .settings
+                .warm_after
+                .as_secs_f64()
+                .max(MIN_WARM_UP_SECONDS);
         self.settings.start_capacity + (1.0 - self.settings.start_capacity) * age
     }
 
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -2,7 +2,7 @@
 
 use super::balancer::Balancer;
 use super::health_checks::REPORT_WAIT_PART;
-use crate::interface::{Action, Dur};
+use crate::interface::{Action, Span};
 
 impl Balancer {
     /// The timer fired; one asked for since stays.
@@ -17,7 +17,7 @@
         let recheck = (self.shortest_pace / 2.0).min(REPORT_WAIT_PART * self.admission.objective());
         let recheck = head
             .filter(|_| self.maturity.any_mature())
-            .map(|_| self.now + Dur::from_secs(recheck));
+            .map(|_| self.now + Span::from_secs_f64(recheck));
         let next_maturity = self.maturity.next().filter(|_| head.is_some());
         let next = [
             self.list_poll_timer.next(),
--- a/src/router/open/actors.rs
+++ b/src/router/open/actors.rs
@@ -115,7 +115,7 @@
     let connector = upstream::TcpConnector {
         options: upstream::Options {
             connect_timeout: config.connect_timeout,
-            server_idle_timeout: Duration::from_micros(config.settings.conn_idle.0),
+            server_idle_timeout: Duration::from(config.settings.conn_idle),
             load_report_names: config.load_report_names.clone(),
         },
         connection_limit: server_sockets,
--- a/src/router/open/fronts.rs
+++ b/src/router/open/fronts.rs
@@ -57,7 +57,7 @@
         core: actors.core.clone(),
         body_memory: limits.body_memory.clone(),
         deadlines: classes
-            .map(|class| Duration::from_micros(class.deadline.0))
+            .map(|class| Duration::from(class.deadline))
             .collect(),
         classes: config.classes.clone(),
         tenants: config.tenants.clone(),
--- a/src/routing/catalog.rs
+++ b/src/routing/catalog.rs
@@ -3,7 +3,7 @@
 use rustc_hash::FxHashMap;
 
 use super::{MOST_ALIASES, MOST_CHAIN, MOST_MODELS, MOST_NUMBERS};
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::spend::{MOST_PRICE, Price};
 
 /// A model as it is written down.
@@ -14,7 +14,7 @@
     /// The model that it is an adapter of.
     pub base: Option<String>,
     /// What the first use on a host costs that has only the base.
-    pub load: Dur,
+    pub load: Span,
     /// Tokens that prompt and answer may hold together.
     pub window: u32,
     /// Tokens that an answer may have.
@@ -75,7 +75,7 @@
     /// The place of the model that it is an adapter of.
     pub base: Option<usize>,
     /// What the first use on a host costs that has only the base.
-    pub load: Dur,
+    pub load: Span,
     /// Tokens that prompt and answer may hold together.
     pub window: u32,
     /// Tokens that an answer may have.
@@ -196,7 +196,7 @@
                 None => return Err(format!("{name}: its base {base:?} is no model")),
             },
         };
-        if base.is_none() && spec.load.0 > 0 {
+        if base.is_none() && !spec.load.is_zero() {
             return Err(format!(
                 "{name}: only an adapter has a load time, and it names no base"
             ));
--- a/src/routing/holdings.rs
+++ b/src/routing/holdings.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use super::Catalog;
-use crate::interface::{Dur, Models, ReplicaId, State, Time};
+use crate::interface::{Models, ReplicaId, Span, State, Timestamp};
 
 /// Models that a host's word may hold; the rest of a longer one is not read.
 const MOST_TOLD: usize = 4096;
@@ -21,7 +21,7 @@
 
 struct Held {
     state: State,
-    started: Time,
+    started: Timestamp,
     listed: Option<Vec<String>>,
     told: Option<Vec<String>>,
 }
@@ -41,7 +41,7 @@
         &mut self,
         replica: ReplicaId,
         state: State,
-        started: Time,
+        started: Timestamp,
         models: Option<&[String]>,
     ) {
         if state == State::Terminated {
@@ -75,7 +75,7 @@
     pub fn tell(
         &mut self,
         replica: ReplicaId,
-        started: Time,
+        started: Timestamp,
         mut names: Vec<String>,
     ) -> (bool, Option<Disagreement>) {
         let Some(host) = self
@@ -138,7 +138,7 @@
 
 impl Held {
     /// The numbers of the models that it has, each with its time to load.
-    fn has<'a>(&'a self, catalog: &'a Catalog) -> impl Iterator<Item = (u32, Dur)> + 'a {
+    fn has<'a>(&'a self, catalog: &'a Catalog) -> impl Iterator<Item = (u32, Span)> + 'a {
         let names = self.told.as_ref().or(self.listed.as_ref());
         let named = move |at: usize| names.is_none_or(|n| n.contains(&catalog.model(at).name));
         catalog
@@ -150,7 +150,7 @@
                 Some(base) if names.is_none() || !named(at) => {
                     named(base).then_some((model.number, model.load))
                 }
-                _ => named(at).then_some((model.number, Dur(0))),
+                _ => named(at).then_some((model.number, Span::ZERO)),
             })
     }
 }
@@ -164,7 +164,7 @@
         let spec = |name: &str, base: Option<&str>| ModelSpec {
             name: name.into(),
             base: base.map(String::from),
-            load: Dur(if base.is_some() { 800_000 } else { 0 }),
+            load: Span::from_micros(if base.is_some() { 800_000 } else { 0 }),
             window: 100,
             max_answer: 10,
             ..ModelSpec::default()
@@ -194,30 +194,45 @@
         all.list(
             id,
             State::InService,
-            Time(5),
+            Timestamp::from_micros(5),
             Some(&names(&["small", "large"])),
         );
         let models = all.models(id, &catalog);
         assert_eq!(
             [1, 2, 3].map(|m| models.ready_in(m)),
-            [Some(Dur(0)), Some(Dur(0)), Some(Dur(800_000))]
+            [
+                Some(Span::ZERO),
+                Some(Span::ZERO),
+                Some(Span::from_millis(800))
+            ]
         );
-        let (news, differ) = all.tell(id, Time(5), names(&["small", "maths"]));
+        let (news, differ) = all.tell(id, Timestamp::from_micros(5), names(&["small", "maths"]));
         let differ = differ.unwrap();
         assert!(news && differ.missing == ["large"] && differ.unlisted == ["maths"]);
         let models = all.models(id, &catalog);
         assert_eq!(
             [1, 2, 3].map(|m| models.ready_in(m)),
-            [Some(Dur(0)), None, Some(Dur(0))]
+            [Some(Span::ZERO), None, Some(Span::ZERO)]
         );
         assert_eq!(
-            all.tell(id, Time(5), names(&["maths", "small"])),
+            all.tell(id, Timestamp::from_micros(5), names(&["maths", "small"])),
             (false, None)
         );
         // a new start: what was told is forgotten, and a late word of the old one is not heard
-        all.list(id, State::InService, Time(9), Some(&names(&["small"])));
-        assert_eq!(all.tell(id, Time(5), names(&["large"])), (false, None));
-        assert_eq!(all.models(id, &catalog).ready_in(3), Some(Dur(800_000)));
+        all.list(
+            id,
+            State::InService,
+            Timestamp::from_micros(9),
+            Some(&names(&["small"])),
+        );
+        assert_eq!(
+            all.tell(id, Timestamp::from_micros(5), names(&["large"])),
+            (false, None)
+        );
+        assert_eq!(
+            all.models(id, &catalog).ready_in(3),
+            Some(Span::from_millis(800))
+        );
     }
 
     #[test]
@@ -226,19 +241,19 @@
         all.list(
             ReplicaId(1),
             State::InService,
-            Time(0),
+            Timestamp::ZERO,
             Some(&names(&["small"])),
         );
         all.list(
             ReplicaId(2),
             State::Terminating,
-            Time(0),
+            Timestamp::ZERO,
             Some(&names(&["large"])),
         );
-        all.list(ReplicaId(3), State::InService, Time(0), None);
+        all.list(ReplicaId(3), State::InService, Timestamp::ZERO, None);
         all.count(&catalog);
         assert_eq!([1, 2, 3].map(|m| all.hosts(m)), [2, 1, 2]);
-        all.list(ReplicaId(3), State::Terminated, Time(0), None);
+        all.list(ReplicaId(3), State::Terminated, Timestamp::ZERO, None);
         all.count(&catalog);
         assert_eq!([1, 2, 3].map(|m| all.hosts(m)), [1, 0, 1]);
     }
--- a/src/routing/needs.rs
+++ b/src/routing/needs.rs
@@ -3,7 +3,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 use crate::policy::{LinearFit, LinearModel};
 
 /// Weight of a new sample: about the last 16 count.
@@ -21,7 +21,7 @@
     mid: f64,
     line: LinearModel,
     deviation: f64,
-    at: Time,
+    at: Timestamp,
     seen: bool,
 }
 
@@ -29,12 +29,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Needs {
     all: FxHashMap<u32, Need>,
-    first: Dur,
+    first: Span,
 }
 
 impl Needs {
     /// Nothing measured yet: until then `first` stands in, the classes' shortest first-token aim.
-    pub fn new(first: Dur) -> Needs {
+    pub fn new(first: Span) -> Needs {
         Needs {
             all: FxHashMap::default(),
             first,
@@ -42,10 +42,10 @@
     }
 
     /// A first token came `took` after its leg's start.
-    pub fn learn(&mut self, model: u32, prompt: u32, took: Dur, now: Time) {
+    pub fn learn(&mut self, model: u32, prompt: u32, took: Span, now: Timestamp) {
         // bounded by the models' numbers
         let need = self.all.entry(model).or_default();
-        let (x, y) = (f64::from(prompt), took.secs());
+        let (x, y) = (f64::from(prompt), took.as_secs_f64());
         if need.seen {
             need.deviation += ((y - need.line.seconds(x)).abs() - need.deviation) * NEW;
             need.mid += (x - need.mid) * NEW;
@@ -67,20 +67,20 @@
 
     /// A leg ended without a first token after so long, though servers had it: the need is at least
     /// that.
-    pub fn missed(&mut self, model: u32, prompt: u32, waited: Dur, now: Time) {
+    pub fn missed(&mut self, model: u32, prompt: u32, waited: Span, now: Timestamp) {
         if self.of(model, prompt, now) < waited {
             self.learn(model, prompt, waited, now);
         }
     }
 
     /// The time that a model needs for its first token.
-    pub fn of(&self, model: u32, prompt: u32, now: Time) -> Dur {
+    pub fn of(&self, model: u32, prompt: u32, now: Timestamp) -> Span {
         let Some(need) = self.all.get(&model).filter(|n| n.seen) else {
             return self.first;
         };
-        let keep = (-(now - need.at).secs() / FADE).exp();
+        let keep = (-(now - need.at).as_secs_f64() / FADE).exp();
         let now = need.line.seconds(f64::from(prompt)) + DEVIATIONS * need.deviation;
-        Dur::from_secs(now * keep)
+        Span::from_secs_f64(now * keep)
     }
 }
 
@@ -90,38 +90,46 @@
 
     #[test]
     fn a_need_follows_what_was_measured_and_fades() {
-        let mut needs = Needs::new(Dur(400_000));
-        assert_eq!(needs.of(0, 100, Time(0)), Dur(400_000));
+        let mut needs = Needs::new(Span::from_millis(400));
+        assert_eq!(needs.of(0, 100, Timestamp::ZERO), Span::from_millis(400));
         for k in 0..200 {
             let prompt = 100 + 10 * (k % 50);
             needs.learn(
                 0,
                 prompt,
-                Dur(50_000 + 100 * u64::from(prompt)),
-                Time(u64::from(k) * 1000),
+                Span::from_micros(50_000 + 100 * u64::from(prompt)),
+                Timestamp::from_micros(u64::from(k) * 1000),
             );
         }
-        let at = Time(200_000);
-        let (short, long) = (needs.of(0, 100, at).secs(), needs.of(0, 600, at).secs());
+        let at = Timestamp::from_millis(200);
+        let (short, long) = (
+            needs.of(0, 100, at).as_secs_f64(),
+            needs.of(0, 600, at).as_secs_f64(),
+        );
         assert!(
             (0.055..0.09).contains(&short) && (0.105..0.14).contains(&long),
             "{short} {long}"
         );
         // the other model is none of its business, and an old measure fades
-        assert_eq!(needs.of(1, 100, at), Dur(400_000));
-        assert!(needs.of(0, 600, Time(60_000_000)).secs() < long / 10.0);
+        assert_eq!(needs.of(1, 100, at), Span::from_millis(400));
+        assert!(needs.of(0, 600, Timestamp::from_secs(60)).as_secs_f64() < long / 10.0);
     }
 
     #[test]
     fn what_never_comes_raises_the_need() {
-        let mut needs = Needs::new(Dur(100_000));
+        let mut needs = Needs::new(Span::from_millis(100));
         for k in 0..40 {
-            needs.missed(0, 100, Dur(900_000), Time(k * 1000));
+            needs.missed(
+                0,
+                100,
+                Span::from_millis(900),
+                Timestamp::from_micros(k * 1000),
+            );
         }
-        assert!(needs.of(0, 100, Time(40_000)) >= Dur(800_000));
+        assert!(needs.of(0, 100, Timestamp::from_millis(40)) >= Span::from_millis(800));
         // a wait shorter than the need tells nothing
-        let before = needs.of(0, 100, Time(40_000));
-        needs.missed(0, 100, Dur(10_000), Time(40_000));
-        assert_eq!(needs.of(0, 100, Time(40_000)), before);
+        let before = needs.of(0, 100, Timestamp::from_millis(40));
+        needs.missed(0, 100, Span::from_millis(10), Timestamp::from_millis(40));
+        assert_eq!(needs.of(0, 100, Timestamp::from_millis(40)), before);
     }
 }
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{Catalog, Holdings, Needs};
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 
 /// What is asked for.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     /// The most tokens of an answer, where the client tells.
     pub cap: Option<u32>,
     /// When its client stops waiting for a first token.
-    pub expires: Time,
+    pub expires: Timestamp,
     /// Call attempts that it may have over all models.
     pub attempts: u32,
     /// A repeat is harmless even where an attempt may have run.
@@ -42,7 +42,7 @@
     /// one.
     pub spent: u32,
     /// When it ends unless a first token has come.
-    pub until: Time,
+    pub until: Timestamp,
 }
 
 /// How a leg ended without an answer.
@@ -53,7 +53,7 @@
     /// Some attempt reached a server, and may have run.
     pub sent: bool,
     /// It was declined, and told to come back then.
-    pub retry_in: Option<Dur>,
+    pub retry_in: Option<Span>,
     /// It was declined rather than failed.
     pub refused: bool,
 }
@@ -66,7 +66,7 @@
     /// Call attempts over all legs.
     pub attempts: u32,
     /// When to come back, where some leg told: the soonest, as any model of the chain will do.
-    pub retry_in: Option<Dur>,
+    pub retry_in: Option<Span>,
     /// No model of the chain had a host.
     pub no_host: bool,
 }
@@ -98,8 +98,8 @@
     attempts: u32,
     may_have_run: bool,
     failed: bool,
-    retry_in: Option<Dur>,
-    out: Option<(usize, Time)>,
+    retry_in: Option<Span>,
+    out: Option<(usize, Timestamp)>,
 }
 
 impl Route {
@@ -144,7 +144,7 @@
     }
 
     /// The first leg, or the next once [`Route::ended`] was told of the one before.
-    pub fn next(&mut self, hosts: &Holdings, needs: &Needs, now: Time) -> Step {
+    pub fn next(&mut self, hosts: &Holdings, needs: &Needs, now: Timestamp) -> Step {
         assert!(self.out.is_none(), "a leg is out: two would run at once");
         let spent_up = self.attempts >= self.ask.attempts;
         let unsafe_again = self.may_have_run && !self.ask.safe;
@@ -172,7 +172,7 @@
         // time is kept back for the next only where both fit
         let after = open.iter().copied().filter(|&k| k > at).map(need).min();
         let kept = after
-            .filter(|&n| n.0.saturating_add(need(at).0) <= left.0)
+            .filter(|&n| n.as_micros().saturating_add(need(at).as_micros()) <= left.as_micros())
             .unwrap_or_default();
         // an attempt is kept back for it too: guards against servers that fail fast and use all of
         // them up
@@ -186,7 +186,7 @@
         let (model, cap, tried) = &mut self.chain[at];
         *tried = Tried::Yes;
         self.out = Some((*model, now));
-        let until = Time(self.ask.expires.0 - kept.0);
+        let until = Timestamp::from_micros(self.ask.expires.as_micros() - kept.as_micros());
         Step::Try(Leg {
             model: *model,
             cap: *cap,
@@ -197,7 +197,7 @@
 
     /// The leg that was out has ended without an answer. What that tells of the model's need is
     /// learnt.
-    pub fn ended(&mut self, how: Ended, needs: &mut Needs, now: Time) {
+    pub fn ended(&mut self, how: Ended, needs: &mut Needs, now: Timestamp) {
         let Some((model, since)) = self.out.take() else {
             return;
         };
@@ -219,7 +219,7 @@
     }
 
     /// The leg that was out has begun to answer: the route is over, and its time is learnt.
-    pub fn answered(&mut self, needs: &mut Needs, now: Time) {
+    pub fn answered(&mut self, needs: &mut Needs, now: Timestamp) {
         if let Some((model, since)) = self.out.take() {
             needs.learn(
                 self.catalog.model(model).number,
--- a/src/spend/gauge.rs
+++ b/src/spend/gauge.rs
@@ -1,11 +1,11 @@
 //! One budget of one node: how much of it is spent, and when there is more.
 
 use super::{Limit, Micro, Moment, Period};
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 
 /// A reservation ends within about so long: what it keeps from others is worth asking for again
 /// then.
-const SOON: Dur = Dur(1_000_000);
+const SOON: Span = Span::from_secs(1);
 
 /// A budget and its state.
 #[derive(Clone, Debug)]
@@ -14,16 +14,16 @@
         limit: Micro,
         period: Period,
         spent: Micro,
-        start: Time,
-        end: Time,
+        start: Timestamp,
+        end: Timestamp,
     },
     Drip {
         limit: Micro,
-        full_in: Dur,
+        full_in: Span,
         /// In parts of a micro-token, `full_in` of them to one: no refill is rounded.
         spent: u128,
         /// Until when the refill is reckoned in.
-        at: Time,
+        at: Timestamp,
     },
 }
 
@@ -35,16 +35,16 @@
     /// What is spent of it now.
     pub spent: Micro,
     /// When it refills, or is full again, by the wall clock.
-    pub refills: Time,
+    pub refills: Timestamp,
     /// How long it takes from empty to full, or the whole period.
-    pub window: Dur,
+    pub window: Span,
 }
 
 /// Why there is no room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Short {
     /// There will be, after this.
-    Until(Dur),
+    Until(Span),
     /// The limit itself is smaller.
     Never,
 }
@@ -93,7 +93,7 @@
                 limit, spent, at, ..
             } => {
                 let passed = now.monotonic - *at;
-                *spent = spent.saturating_sub(u128::from(passed.0) * u128::from(*limit));
+                *spent = spent.saturating_sub(u128::from(passed.as_micros()) * u128::from(*limit));
                 *at = now.monotonic.max(*at);
             }
         }
@@ -111,7 +111,7 @@
             } => (
                 *limit,
                 spent
-                    .div_ceil(u128::from(full_in.0))
+                    .div_ceil(u128::from(full_in.as_micros()))
                     .min(u128::from(Micro::MAX)) as Micro,
             ),
         }
@@ -133,11 +133,11 @@
             _ if short == 0 => SOON,
             Gauge::Each { end, .. } => *end - now.wall,
             Gauge::Drip { full_in, spent, .. } => {
-                let room = u128::from(limit - more) * u128::from(full_in.0);
+                let room = u128::from(limit - more) * u128::from(full_in.as_micros());
                 let wait = spent
                     .saturating_sub(room)
                     .div_ceil(u128::from(limit.max(1)));
-                Dur(wait.min(u128::from(Dur::MAX.0)) as u64)
+                Span::from_micros(wait.min(u128::from(Span::MAX.as_micros())) as u64)
             }
         }))
     }
@@ -156,7 +156,7 @@
         match self {
             Gauge::Each { spent, .. } => *spent = spent.saturating_add(charged),
             Gauge::Drip { spent, full_in, .. } => {
-                *spent += u128::from(charged) * u128::from(full_in.0);
+                *spent += u128::from(charged) * u128::from(full_in.as_micros());
             }
         }
         within.saturating_add(beyond) - charged
@@ -201,7 +201,7 @@
                 },
             ) => {
                 (*spent, *at) = (
-                    old.div_ceil(u128::from(was.0)) * u128::from(full_in.0),
+                    old.div_ceil(u128::from(was.as_micros())) * u128::from(full_in.as_micros()),
                     *then,
                 );
                 if was == full_in {
@@ -214,14 +214,14 @@
 
     /// Brings back a state that was kept; a period that has ended since is begun anew by the next
     /// advance.
-    pub fn restore(&mut self, kept: Micro, since: Time) {
+    pub fn restore(&mut self, kept: Micro, since: Timestamp) {
         match self {
             Gauge::Each { start, spent, .. } if since >= *start => *spent = kept,
             Gauge::Each { .. } => {}
             Gauge::Drip {
                 spent, at, full_in, ..
             } => {
-                (*spent, *at) = (u128::from(kept) * u128::from(full_in.0), since);
+                (*spent, *at) = (u128::from(kept) * u128::from(full_in.as_micros()), since);
             }
         }
     }
@@ -248,7 +248,8 @@
                 at,
             } => {
                 let wait = spent.div_ceil(u128::from(limit.max(1)));
-                let full_at = at + Dur(wait.min(u128::from(Dur::MAX.0)) as u64);
+                let full_at =
+                    at + Span::from_micros(wait.min(u128::from(Span::MAX.as_micros())) as u64);
                 let refills = now.wall + (full_at - now.monotonic);
                 Reading {
                     limit,
--- a/src/spend/gauge/tests.rs
+++ b/src/spend/gauge/tests.rs
@@ -10,8 +10,8 @@
 
 fn at(monotonic: u64, wall: u64) -> Moment {
     Moment {
-        monotonic: Time(monotonic),
-        wall: Time(START + wall),
+        monotonic: Timestamp::from_micros(monotonic),
+        wall: Timestamp::from_micros(START + wall),
     }
 }
 
@@ -49,7 +49,7 @@
     assert_eq!(use_up(&mut gauge, at(2 * MINUTE, 32 * MINUTE)), 0);
     assert_eq!(
         gauge.room(0, 1, at(2 * MINUTE, 32 * MINUTE)),
-        Err(Short::Until(Dur(88 * MINUTE)))
+        Err(Short::Until(Span::from_micros(88 * MINUTE)))
     );
     assert_eq!(use_up(&mut gauge, at(40 * MINUTE, 70 * MINUTE)), 0);
     // the hour after it comes as it would have
@@ -61,7 +61,7 @@
     let mut gauge = Gauge::new(
         &Limit::Drip {
             amount: 100,
-            full_in: Dur(HOUR),
+            full_in: Span::from_micros(HOUR),
         },
         1,
         at(0, 0),
@@ -73,7 +73,7 @@
     // full again by the wall clock as it reads now
     assert_eq!(
         gauge.reading(at(30 * MINUTE, 0)).refills,
-        Time(START + HOUR)
+        Timestamp::from_micros(START + HOUR)
     );
 }
 
--- a/src/spend/ledger.rs
+++ b/src/spend/ledger.rs
@@ -6,7 +6,7 @@
 
 use super::gauge::{Gauge, Short};
 use super::{DEPTH, Micro, Moment, Reading, Tree, TreeFault};
-use crate::interface::Dur;
+use crate::interface::Span;
 
 pub use snapshot::NodeState;
 
@@ -45,7 +45,7 @@
     /// Its budget's name.
     pub budget: String,
     /// When to come back; none: the whole limit is smaller than what was asked for.
-    pub retry_in: Option<Dur>,
+    pub retry_in: Option<Span>,
     /// What the budget shows.
     pub reading: Reading,
     /// What is reserved at the node.
@@ -216,7 +216,7 @@
     }
 
     fn room(&mut self, node: NodeId, amount: Micro, now: Moment) -> Result<(), Refusal> {
-        let mut worst: Option<(Dur, Refusal)> = None;
+        let mut worst: Option<(Span, Refusal)> = None;
         let path: Vec<usize> = self.path(node).collect();
         for (up, &k) in path.iter().enumerate() {
             let n = &mut self.nodes[k];
@@ -226,7 +226,7 @@
                     continue;
                 };
                 let (wait, retry_in) = match short {
-                    Short::Never => (Dur::MAX, None),
+                    Short::Never => (Span::MAX, None),
                     Short::Until(wait) => (wait, Some(wait)),
                 };
                 if worst.as_ref().is_none_or(|w| wait > w.0) {
--- a/src/spend/ledger/snapshot.rs
+++ b/src/spend/ledger/snapshot.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Ledger, NodeId};
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use crate::spend::{Micro, Moment};
 
 /// A node's state as plain data: what a durable or shared ledger would keep. Reservations are not
@@ -24,7 +24,7 @@
         let state = listed.map(|n| {
             let spent = n.budgets.iter_mut().map(|(name, gauge)| {
                 gauge.advance(now);
-                (name.clone(), gauge.reading(now).spent, now.wall.0)
+                (name.clone(), gauge.reading(now).spent, now.wall.as_micros())
             });
             NodeState {
                 path: n.path.clone(),
@@ -43,7 +43,7 @@
             for (name, spent, at) in &state.spent {
                 let budgets = &mut self.nodes[k as usize].budgets;
                 if let Some((_, gauge)) = budgets.iter_mut().find(|b| b.0 == *name) {
-                    gauge.restore(*spent, Time(*at));
+                    gauge.restore(*spent, Timestamp::from_micros(*at));
                 }
             }
         }
--- a/src/spend/mod.rs
+++ b/src/spend/mod.rs
@@ -29,7 +29,7 @@
 pub use moment::Moment;
 pub use period::{Length, Period};
 
-use crate::interface::Dur;
+use crate::interface::Span;
 
 /// Millionths of a token.
 pub type Micro = u64;
@@ -98,7 +98,7 @@
         /// How much at once: the burst.
         amount: Micro,
         /// How long an empty one takes to be full again.
-        full_in: Dur,
+        full_in: Span,
     },
 }
 
@@ -188,7 +188,7 @@
                 if matches!(
                     budget.limit,
                     Limit::Drip {
-                        full_in: Dur(0),
+                        full_in: Span::ZERO,
                         ..
                     }
                 ) {
--- a/src/spend/moment.rs
+++ b/src/spend/moment.rs
@@ -1,20 +1,20 @@
 //! The two clocks that budgets go by.
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// Both clocks as they read at one moment. Calendar periods go by the wall clock, which may be
 /// stepped; refills are spans of real time and go by the monotonic one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Moment {
     /// A clock that is never stepped.
-    pub monotonic: Time,
+    pub monotonic: Timestamp,
     /// Unix time, as the machine's clock has it.
-    pub wall: Time,
+    pub wall: Timestamp,
 }
 
 /// A moment at which no clock has been stepped.
-impl From<Time> for Moment {
-    fn from(time: Time) -> Moment {
+impl From<Timestamp> for Moment {
+    fn from(time: Timestamp) -> Moment {
         Moment {
             monotonic: time,
             wall: time,
--- a/src/spend/period.rs
+++ b/src/spend/period.rs
@@ -5,9 +5,9 @@
 
 use jiff::civil::Date;
 use jiff::tz::TimeZone;
-use jiff::{Timestamp, ToSpan, ZonedDateTime};
+use jiff::{ToSpan, ZonedDateTime};
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// How long a period is.
 #[derive(Clone, Debug, PartialEq)]
@@ -33,17 +33,18 @@
 }
 
 /// The end of a period that has none.
-const NEVER: Time = Time(u64::MAX);
+const NEVER: Timestamp = Timestamp::from_micros(u64::MAX);
 
 impl Period {
     /// The period that holds an instant: its first, and the first of the next. An instant that no
     /// calendar has lies in a period without an end.
-    pub fn around(&self, at: Time) -> (Time, Time) {
-        self.find(at).unwrap_or((Time(0), NEVER))
+    pub fn around(&self, at: Timestamp) -> (Timestamp, Timestamp) {
+        self.find(at).unwrap_or((Timestamp::ZERO, NEVER))
     }
 
-    fn find(&self, at: Time) -> Option<(Time, Time)> {
-        let instant = Timestamp::from_microsecond(i64::try_from(at.0).ok()?).ok()?;
+    fn find(&self, at: Timestamp) -> Option<(Timestamp, Timestamp)> {
+        let instant =
+            jiff::Timestamp::from_microsecond(i64::try_from(at.as_micros()).ok()?).ok()?;
         let here: ZonedDateTime = instant.to_zoned_datetime(self.zone.clone());
         let midnight = |date: Date| date.to_zoned_datetime(self.zone.clone()).ok().map(time);
         match &self.length {
@@ -52,10 +53,10 @@
                 // change: hours count in elapsed time from the offset's own hour
                 let shift = i64::from(here.offset().seconds()).rem_euclid(3600) as u64 * 1_000_000;
                 let hour = 3_600_000_000;
-                let start = (at.0 + shift) / hour * hour;
+                let start = (at.as_micros() + shift) / hour * hour;
                 Some((
-                    Time(start.saturating_sub(shift)),
-                    Time(start + hour - shift),
+                    Timestamp::from_micros(start.saturating_sub(shift)),
+                    Timestamp::from_micros(start + hour - shift),
                 ))
             }
             Length::Day => Some((
@@ -75,7 +76,7 @@
                 let start = next
                     .checked_sub(1)
                     .and_then(|k| midnight(days[k]))
-                    .unwrap_or(Time(0));
+                    .unwrap_or(Timestamp::ZERO);
                 Some((
                     start,
                     days.get(next).and_then(|d| midnight(*d)).unwrap_or(NEVER),
@@ -85,8 +86,8 @@
     }
 }
 
-fn time(zoned: ZonedDateTime) -> Time {
-    Time(u64::try_from(zoned.timestamp().as_microsecond()).unwrap_or(0))
+fn time(zoned: ZonedDateTime) -> Timestamp {
+    Timestamp::from_micros(u64::try_from(zoned.timestamp().as_microsecond()).unwrap_or(0))
 }
 
 #[cfg(test)]
@@ -94,8 +95,8 @@
     use super::*;
     use rstest::rstest;
 
-    fn at(text: &str) -> Time {
-        Time(text.parse::<Timestamp>().unwrap().as_microsecond() as u64)
+    fn at(text: &str) -> Timestamp {
+        Timestamp::from_micros(text.parse::<jiff::Timestamp>().unwrap().as_microsecond() as u64)
     }
 
     #[rstest]
@@ -117,10 +118,15 @@
         let now = at(now);
         let (start, end) = period.around(now);
         assert!(start <= now && now < end);
-        assert_eq!((end - start).0, hours * 3_600_000_000);
+        assert_eq!((end - start).as_micros(), hours * 3_600_000_000);
         // the periods join without a gap
         assert_eq!(period.around(end).0, end);
-        assert_eq!(period.around(Time(start.0 - 1)).1, start);
+        assert_eq!(
+            period
+                .around(Timestamp::from_micros(start.as_micros() - 1))
+                .1,
+            start
+        );
     }
 
     #[test]
@@ -132,7 +138,10 @@
         };
         let first = at("2026-08-24T00:00:00+02:00");
         let second = at("2027-01-11T00:00:00+01:00");
-        assert_eq!(period.around(at("2026-08-01T00:00:00Z")), (Time(0), first));
+        assert_eq!(
+            period.around(at("2026-08-01T00:00:00Z")),
+            (Timestamp::ZERO, first)
+        );
         assert_eq!(period.around(first), (first, second));
         assert_eq!(period.around(second), (second, NEVER));
     }
@@ -146,6 +155,6 @@
         };
         let (start, end) = period.around(at("2018-11-04T12:00:00-02:00"));
         assert_eq!(start, at("2018-11-04T01:00:00-02:00"));
-        assert_eq!((end - start).0, 23 * 3_600_000_000);
+        assert_eq!((end - start).as_micros(), 23 * 3_600_000_000);
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -9,8 +9,8 @@
 use serde::Deserialize;
 
 use crate::interface::{
-    Action, Arrival, Class, Dur, Effect, Entry, Event, Field, Group, ListKind, Outcome, ReplicaId,
-    Report, RequestId, Settings, State, Time,
+    Action, Arrival, Class, Effect, Entry, Event, Field, Group, ListKind, Outcome, ReplicaId,
+    Report, RequestId, Settings, Span, State, Timestamp,
 };
 
 /// What one line says.
@@ -19,7 +19,7 @@
     /// A batch begins.
     Clock {
         /// The clock in it.
-        now: Time,
+        now: Timestamp,
         /// The batch's number.
         seq: u64,
     },
@@ -258,7 +258,7 @@
             "CLOCK" => {
                 self.in_batch = true;
                 return Ok(Line::Clock {
-                    now: Time(f.micros("now")?),
+                    now: Timestamp::from_micros(f.micros("now")?),
                     seq: f.int("seq")?,
                 });
             }
@@ -286,7 +286,7 @@
             "HEADERS" => Event::First {
                 request: RequestId(f.int("ref")?),
                 trial: f.int("trial")?,
-                took: Dur(f.micros("took")?),
+                took: Span::from_micros(f.micros("took")?),
             },
             "EXPIRED" => Event::Gone {
                 request: RequestId(f.int("ref")?),
@@ -295,7 +295,7 @@
                 request: RequestId(f.int("ref")?),
                 trial: f.int("trial")?,
                 outcome: outcome(f.int("result")?)?,
-                took: Dur(f.micros("took")?),
+                took: Span::from_micros(f.micros("took")?),
                 kept: if f.get("note").is_some() {
                     Some(f.int("note")?)
                 } else {
@@ -307,7 +307,7 @@
             "CHECK_RESULT" => Event::Probed {
                 replica: replica_id(f.need("replica")?),
                 outcome: outcome(f.int("result")?)?,
-                took: Dur(f.micros("took")?),
+                took: Span::from_micros(f.micros("took")?),
                 report: f.report()?,
             },
             "FROM_PEER" => Event::Peer {
@@ -350,7 +350,7 @@
                 "terminated" => State::Terminated,
                 other => return Err(format!("lifecycle={} is not known", shorten(other))),
             },
-            started: Time(if f.get("launched").is_some() {
+            started: Timestamp::from_micros(if f.get("launched").is_some() {
                 f.micros("launched")?
             } else {
                 0
@@ -424,20 +424,28 @@
                     request.0,
                     name(replica)
                 );
-                give_up.map_or(Ok(()), |d| write!(out, " give-up-after={}", Seconds(d.0)))
+                give_up.map_or(Ok(()), |d| {
+                    write!(out, " give-up-after={}", Seconds(d.as_micros()))
+                })
             }
             Action::Cancel { request, trial } => {
                 write!(out, "RETRACT i={i} ref={} trial={trial}", request.0)
             }
             Action::Refuse { request, retry_in } => {
                 let _ = write!(out, "REFUSE i={i} ref={}", request.0);
-                retry_in.map_or(Ok(()), |d| write!(out, " retry-in={}", Seconds(d.0)))
+                retry_in.map_or(Ok(()), |d| {
+                    write!(out, " retry-in={}", Seconds(d.as_micros()))
+                })
             }
             Action::Fail { request } => write!(out, "ABORT i={i} ref={}", request.0),
             Action::Probe { replica } => write!(out, "POLL i={i} replica={}", name(replica)),
             Action::Watch => write!(out, "KEEP_INFORMED i={i} on=1"),
             Action::Timer { at, mark } => {
-                write!(out, "WAKE_ME i={i} due-at={} mark={mark}", Seconds(at.0))
+                write!(
+                    out,
+                    "WAKE_ME i={i} due-at={} mark={mark}",
+                    Seconds(at.as_micros())
+                )
             }
         };
         out.push('\n');
@@ -488,8 +496,8 @@
         prompt: f.int_or("prompt-len", 0)?,
         shared: f.int_or("shared-len", 0)?,
         cap: f.int_or("output-cap", 0)?,
-        hint: Dur::from_secs(hint),
-        valid_until: Time(f.micros("valid-until")?),
+        hint: Span::from_secs_f64(hint),
+        valid_until: Timestamp::from_micros(f.micros("valid-until")?),
         repeat: options & 2 != 0,
         resumed: options & 16 != 0,
         ..Arrival::default()
@@ -622,10 +630,10 @@
     let broken = |what: String| Err(format!("broken settings: {what}"));
     let mut classes = Vec::with_capacity(raw.classes.len());
     for (k, c) in raw.classes.iter().enumerate() {
-        let aim = Dur::from_secs(c.objective);
+        let aim = Span::from_secs_f64(c.objective);
         classes.push(Class {
             aim,
-            aim_per_1000: Dur::from_secs(
+            aim_per_1000: Span::from_secs_f64(
                 raw.specifics
                     .aim_us_per_1000_prompt_tokens
                     .get(k)
@@ -637,8 +645,8 @@
                 .specifics
                 .token_aim
                 .get(k)
-                .map_or(aim, |&s| Dur::from_secs(s)),
-            deadline: Dur::from_secs(c.deadline),
+                .map_or(aim, |&s| Span::from_secs_f64(s)),
+            deadline: Span::from_secs_f64(c.deadline),
             aim_stretch: c.aim_stretch.max(0.0),
             effect: match c.effect.as_str() {
                 "read_like" => Effect::Safe,
@@ -652,7 +660,7 @@
                 Some("cell") => Group::Cell,
                 Some(other) => return broken(format!("group '{}'", shorten(other))),
             },
-            window: Dur::from_secs(c.repeat_window),
+            window: Span::from_secs_f64(c.repeat_window),
             worth: c.credit,
             late_worth: c.late_worth,
             stream: c.streaming,
@@ -672,13 +680,13 @@
     Ok(Settings {
         instances: raw.n_instances.max(1),
         zone: raw.zone,
-        period: Dur::from_secs(raw.period),
+        period: Span::from_secs_f64(raw.period),
         ask: match raw.discovery.as_str() {
             "ask" => true,
             "push" => false,
             other => return broken(format!("discovery '{}'", shorten(other))),
         },
-        must_ask_in: Dur::from_secs(
+        must_ask_in: Span::from_secs_f64(
             raw.guarantees
                 .must_ask_in
                 .unwrap_or(raw.guarantees.warm_after),
@@ -696,18 +704,18 @@
         second_copies: raw.limits.second_copies,
         probes: raw.limits.probes,
         retry_after: raw.limits.retry_after,
-        max_retry_after: Dur::from_secs(raw.limits.max_retry_after),
+        max_retry_after: Span::from_secs_f64(raw.limits.max_retry_after),
         max_attempts: raw.limits.max_attempts,
-        conn_idle: Dur::from_secs(raw.limits.conn_idle),
+        conn_idle: Span::from_secs_f64(raw.limits.conn_idle),
         cross_price: raw.prices.cross_zone,
         handshake_price: raw.prices.handshake,
         waste_price: raw.prices.waste,
         probe_price: raw.prices.probe,
-        drain_grace: Dur::from_secs(raw.guarantees.drain_grace),
+        drain_grace: Span::from_secs_f64(raw.guarantees.drain_grace),
         fall_multiple: raw.guarantees.fall_multiple,
-        fall: Dur::from_secs(raw.guarantees.fall),
+        fall: Span::from_secs_f64(raw.guarantees.fall),
         start_capacity: raw.guarantees.start_capacity,
-        warm_after: Dur::from_secs(raw.guarantees.warm_after),
+        warm_after: Span::from_secs_f64(raw.guarantees.warm_after),
         sized: raw.weights != "live",
         report: raw.telemetry.names.iter().map(field).collect(),
         report_in_answers: raw.telemetry.how == "answers",
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -48,7 +48,7 @@
     let server = peer(|_, _, _| plain("500 Oops", "")).await;
     let mut config = config(&[("s-a", &server.address, "SERVING")], None);
     (config.settings.retry_after, config.settings.max_retry_after) =
-        (true, stilespan::interface::Dur(2_000_000));
+        (true, stilespan::interface::Span::from_secs(2));
     let router = route(config).await;
     let mut last = None;
     for _ in 0..6 {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -24,7 +24,7 @@
     entries.extend((30..40).map(cold));
     let mut fleet = Fleet::new(&rules(), &entries);
     for _ in 0..3 {
-        fleet.round(Dur(1_000_000));
+        fleet.round(Span::from_secs(1));
     }
     // 100 requests a second over 40 replicas: a warm one's part is 2.5 a second, all of it within
     // its means
@@ -35,7 +35,7 @@
         fleet.sent.len()
     );
     let rule = 4.0 * 0.5 * 2.5 * 1.5;
-    let most = fleet.most(Dur(1_500_000), |to| to >= 30);
+    let most = fleet.most(Span::from_millis(1_500), |to| to >= 30);
     assert!(
         (most as f64) <= rule,
         "{most} sends to one cold replica in its window, {rule} allowed"
@@ -66,10 +66,10 @@
         }
         // a hundred requests a second in all, for three seconds
         for _ in 0..300 / processes {
-            fleet.round(Dur(10_000 * processes));
+            fleet.round(Span::from_micros(10_000 * processes));
         }
         let to_cold = fleet.sent.iter().filter(|s| s.2 >= 30).count();
-        (to_cold, fleet.most(Dur(1_500_000), |to| to >= 30))
+        (to_cold, fleet.most(Span::from_millis(1_500), |to| to >= 30))
     };
     // over many draws: in one alone chance makes a third more or less. Half of the budget at the
     // start's capacity is what is meant to be sent; what the page puts down to chance beyond the
@@ -106,9 +106,9 @@
         .collect();
     let mut fleet = Fleet::new(&rules(), &entries);
     // all of them have a request within a tenth of a second
-    fleet.round(Dur(100_000));
+    fleet.round(Span::from_millis(100));
     let rule = 4.0 * 0.3 * 10.0;
-    let most = fleet.most(Dur(1_500_000), |to| to >= warm);
+    let most = fleet.most(Span::from_millis(1_500), |to| to >= warm);
     assert!(
         (most as f64) <= rule,
         "{most} sends to one cold replica, {rule} allowed"
@@ -120,7 +120,7 @@
     }
     for _ in 0..4 {
         for k in 0..fleet.gateways.len() {
-            let now = fleet.gateways[k].now + Dur(500_000);
+            let now = fleet.gateways[k].now + Span::from_millis(500);
             fleet.act(k, now, vec![Event::Timer { mark: 0 }]);
         }
     }
--- a/tests/cold_sum.rs
+++ b/tests/cold_sum.rs
@@ -24,7 +24,7 @@
 /// Plays of a case.
 const PLAYS: u64 = 4;
 /// The time in which first tokens are wanted.
-const AIM: Dur = Dur(20_000_000);
+const AIM: Span = Span::from_secs(20);
 /// The longest prompt, in tokens.
 const LONGEST: f64 = 20_000.0;
 
@@ -80,7 +80,7 @@
             Ramp::Usual => set,
             Ramp::Long => Settings {
                 start_capacity: 0.1,
-                warm_after: Dur(60_000_000),
+                warm_after: Span::from_secs(60),
                 ..set
             },
         }
@@ -98,7 +98,7 @@
 /// Calls that the rule allows a server in a window, chance aside, at this part of a warm one's
 /// capacity; `due` is a warm one's part of the calls a second.
 fn allowed(set: &Settings, due: f64, capacity: f64) -> f64 {
-    set.fall_multiple * capacity * due * set.fall.secs()
+    set.fall_multiple * capacity * due * set.fall.as_secs_f64()
 }
 
 /// What the rule puts down to chance.
@@ -113,26 +113,26 @@
 /// What a server in slow start can do so long after its start, as a part of the whole: a straight
 /// line.
 fn capacity(set: &Settings, since: f64) -> f64 {
-    set.start_capacity + (1.0 - set.start_capacity) * since / set.warm_after.secs()
+    set.start_capacity + (1.0 - set.start_capacity) * since / set.warm_after.as_secs_f64()
 }
 
 /// The windows in which a server in slow start got more calls than it may, each with what it got
 /// and what it may.
-fn over(set: &Settings, due: f64, sent: &[(Time, usize, u64)]) -> Vec<(usize, f64)> {
-    let calls_in = |at: Time, to: u64| {
+fn over(set: &Settings, due: f64, sent: &[(Timestamp, usize, u64)]) -> Vec<(usize, f64)> {
+    let calls_in = |at: Timestamp, to: u64| {
         sent.iter()
             .filter(|call| call.2 == to && call.0 >= at && call.0 - at <= set.fall)
             .count()
     };
     let windows = sent.iter().map(|&(at, _, to)| {
-        let may = allowed(set, due, capacity(set, (at - START).secs()));
+        let may = allowed(set, due, capacity(set, (at - START).as_secs_f64()));
         (calls_in(at, to), may + chance(may))
     });
     windows.filter(|(got, may)| *got as f64 > *may).collect()
 }
 
 /// A play: the calls to servers in slow start.
-fn play(set: &Settings, traffic: Traffic, rate: u64, seed: u64) -> Vec<(Time, usize, u64)> {
+fn play(set: &Settings, traffic: Traffic, rate: u64, seed: u64) -> Vec<(Timestamp, usize, u64)> {
     let entries: Vec<Entry> = (0..WARM + COLD)
         .map(|k| {
             if k < WARM {
@@ -148,7 +148,7 @@
     let mut fleet = Fleet::seeded(set, &entries, seed * 1000);
     let mut rng = StdRng::seed_from_u64(seed);
     for n in 0..(LENGTH * rate as f64) as u64 {
-        let now = START + Dur(1_000_000 * n / rate);
+        let now = START + Span::from_micros(1_000_000 * n / rate);
         let (process, prompt) = traffic.draw(&mut rng, set.instances);
         fleet.settle(now);
         fleet.next += 1;
@@ -177,8 +177,8 @@
     let set = ramp.settings(processes);
     let rate = busy * ramp.rate();
     let due = rate as f64 / (WARM + COLD) as f64;
-    let in_all =
-        COLD as f64 * allowed(&set, due, capacity(&set, LENGTH / 2.0)) * LENGTH / set.fall.secs();
+    let in_all = COLD as f64 * allowed(&set, due, capacity(&set, LENGTH / 2.0)) * LENGTH
+        / set.fall.as_secs_f64();
     let mut calls = 0;
     for seed in 1..=PLAYS {
         let sent = play(&set, traffic, rate, seed);
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -11,8 +11,8 @@
 /// Many gateways, and what they sent: when, from which, and where to.
 pub struct Fleet {
     pub gateways: Vec<Gateway>,
-    pub open: Vec<(Time, usize, u32)>,
-    pub sent: Vec<(Time, usize, u64)>,
+    pub open: Vec<(Timestamp, usize, u32)>,
+    pub sent: Vec<(Timestamp, usize, u64)>,
     pub ended: usize,
     pub next: u32,
 }
@@ -45,14 +45,15 @@
 
     /// One request for each gateway in turn, spread evenly over `span`; first tokens come after 50
     /// ms, answers end 200 ms later.
-    pub fn round(&mut self, span: Dur) {
+    pub fn round(&mut self, span: Span) {
         let start = self.gateways[0].now;
         for k in 0..self.gateways.len() {
-            let now = start + Dur(span.0 * k as u64 / self.gateways.len() as u64);
+            let now =
+                start + Span::from_micros(span.as_micros() * k as u64 / self.gateways.len() as u64);
             self.settle(now);
             self.next += 1;
             let ask = Arrival {
-                valid_until: now + Dur(5_000_000),
+                valid_until: now + Span::from_secs(5),
                 ..arrival(self.next)
             };
             self.act(k, now, vec![Event::Request(ask)]);
@@ -64,7 +65,7 @@
         }
     }
 
-    pub fn settle(&mut self, now: Time) {
+    pub fn settle(&mut self, now: Timestamp) {
         let (due, open) = self.open.iter().partition(|o| o.0 <= now);
         self.open = open;
         for (at, k, id) in due {
@@ -73,15 +74,15 @@
         }
     }
 
-    pub fn act(&mut self, k: usize, now: Time, events: Vec<Event>) {
+    pub fn act(&mut self, k: usize, now: Timestamp, events: Vec<Event>) {
         let after = now - self.gateways[k].now;
-        for action in self.gateways[k].step(after.0, events) {
+        for action in self.gateways[k].step(after.as_micros(), events) {
             match action {
                 Action::Send {
                     request, replica, ..
                 } => {
                     self.sent.push((now, k, replica.0));
-                    self.open.push((now + Dur(250_000), k, request.0));
+                    self.open.push((now + Span::from_millis(250), k, request.0));
                 }
                 Action::Refuse { .. } | Action::Fail { .. } => self.ended += 1,
                 _ => {}
@@ -90,10 +91,11 @@
     }
 
     /// The most sends to one replica within any window.
-    pub fn most(&self, window: Dur, of: impl Fn(u64) -> bool) -> usize {
+    pub fn most(&self, window: Span, of: impl Fn(u64) -> bool) -> usize {
         let mut most = 0;
         for &(at, _, to) in self.sent.iter().filter(|s| of(s.2)) {
-            let within = |s: &&(Time, usize, u64)| s.2 == to && s.0 >= at && s.0 - at <= window;
+            let within =
+                |s: &&(Timestamp, usize, u64)| s.2 == to && s.0 >= at && s.0 - at <= window;
             most = most.max(self.sent.iter().filter(within).count());
         }
         most
@@ -104,9 +106,9 @@
 pub fn rules() -> Settings {
     Settings {
         instances: GATEWAYS,
-        fall: Dur(1_500_000),
+        fall: Span::from_millis(1_500),
         start_capacity: 0.3,
-        warm_after: Dur(9_000_000),
+        warm_after: Span::from_secs(9),
         ..settings()
     }
 }
@@ -133,7 +135,7 @@
     Event::Probed {
         replica: ReplicaId(replica),
         outcome,
-        took: Dur(2_000),
+        took: Span::from_millis(2),
         report,
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -18,17 +18,17 @@
 use stilespan::Balancer;
 use stilespan::interface::*;
 
-pub const START: Time = Time(100_000_000);
+pub const START: Timestamp = Timestamp::from_secs(100);
 
 pub struct Gateway {
     pub balancer: Balancer,
-    pub now: Time,
+    pub now: Timestamp,
 }
 
 pub fn settings() -> Settings {
     let class = Class {
-        aim: Dur(1_000_000),
-        pace: Dur(80_000),
+        aim: Span::from_secs(1),
+        pace: Span::from_millis(80),
         ..Class::default()
     };
     Settings {
@@ -36,7 +36,7 @@
         max_attempts: 3,
         cancel: true,
         second_copies: true,
-        drain_grace: Dur(500_000),
+        drain_grace: Span::from_millis(500),
         fall_multiple: 4.0,
         ..Settings::default()
     }
@@ -67,7 +67,7 @@
 }
 
 pub fn ended(request: u32, trial: u32, outcome: Outcome, closed: bool) -> Event {
-    let (request, took) = (RequestId(request), Dur(50_000));
+    let (request, took) = (RequestId(request), Span::from_millis(50));
     Event::Ended {
         request,
         trial,
@@ -83,7 +83,7 @@
     Event::First {
         request: RequestId(request),
         trial,
-        took: Dur(took),
+        took: Span::from_micros(took),
     }
 }
 
@@ -106,14 +106,14 @@
     /// Lets time pass, hands the events over and returns the actions, timers aside.
     pub fn step(&mut self, after: u64, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.now = self.now + Dur(after);
+        self.now = self.now + Span::from_micros(after);
         self.balancer.step(self.now, &events, &mut actions);
         actions.retain(|a| !matches!(a, Action::Timer { .. }));
         actions
     }
 
     pub fn ask(&mut self, after: u64, mut arrival: Arrival) -> Vec<Action> {
-        arrival.valid_until = Time(self.now.0 + after + 5_000_000);
+        arrival.valid_until = Timestamp::from_micros(self.now.as_micros() + after + 5_000_000);
         self.step(after, vec![Event::Request(arrival)])
     }
 }
--- a/tests/common/scripted.rs
+++ b/tests/common/scripted.rs
@@ -7,7 +7,7 @@
 use stilespan::core::{
     Connector, DiscoveryCommand, Endpoint, Request, RequestAttributes, UpstreamCommand,
 };
-use stilespan::interface::{Entry, ReplicaId, Settings, Time};
+use stilespan::interface::{Entry, ReplicaId, Settings, Timestamp};
 use tokio::sync::mpsc;
 
 pub type Opened = Arc<Mutex<Vec<(ReplicaId, mpsc::Receiver<UpstreamCommand>)>>>;
@@ -26,7 +26,7 @@
 pub fn host(id: u64, address: &str, started: u64) -> Endpoint {
     let entry = Entry {
         replica: ReplicaId(id),
-        started: Time(started),
+        started: Timestamp::from_micros(started),
         rating: 1.0,
         ..Entry::default()
     };
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -22,14 +22,14 @@
 
 pub struct Try {
     pub replica: u64,
-    pub sent: Time,
+    pub sent: Timestamp,
     pub over: Option<Outcome>,
     pub streaming: bool,
 }
 
 pub struct Open {
     pub class: usize,
-    pub valid_until: Time,
+    pub valid_until: Timestamp,
     pub tries: Vec<Try>,
     pub answered: bool,
 }
@@ -37,10 +37,10 @@
 pub struct World {
     pub set: Settings,
     pub rng: StdRng,
-    pub now: Time,
+    pub now: Timestamp,
     pub open: BTreeMap<u32, Open>,
     pub fleet: BTreeMap<u64, Entry>,
-    pub barred: BTreeMap<u64, Time>,
+    pub barred: BTreeMap<u64, Timestamp>,
     pub next: u32,
     /// Attempts may have a second outcome, and a first token after their first.
     pub doubled: bool,
@@ -60,7 +60,7 @@
             effect,
             group,
             late_worth,
-            window: Dur(400_000),
+            window: Span::from_millis(400),
             ..Class::default()
         });
     }
@@ -93,12 +93,15 @@
                 let started = if self.rng.random_bool(0.2) {
                     self.now
                 } else {
-                    Time(0)
+                    Timestamp::ZERO
                 };
-                let known = self
-                    .fleet
-                    .get(&k)
-                    .map_or(started, |e| if started.0 > 0 { started } else { e.started });
+                let known = self.fleet.get(&k).map_or(started, |e| {
+                    if started.as_micros() > 0 {
+                        started
+                    } else {
+                        e.started
+                    }
+                });
                 entries.push(Entry {
                     state,
                     started: known,
@@ -163,7 +166,7 @@
             let (id, class) = (self.next, self.rng.random_range(0..5));
             self.next += 1;
             let wait = [50_000, 900_000, 5_000_000][self.rng.random_range(0..3)];
-            let valid_until = self.now + Dur(wait);
+            let valid_until = self.now + Span::from_micros(wait);
             self.open.insert(
                 id,
                 Open {
@@ -214,7 +217,7 @@
                 } else if self.rng.random_bool(0.05) {
                     if !t.streaming && !open.answered && self.rng.random_bool(0.6) {
                         t.streaming = true;
-                        events.push(first(id, trial as u32, (now - t.sent).0));
+                        events.push(first(id, trial as u32, (now - t.sent).as_micros()));
                     } else {
                         events.push(self.ending(id, trial, false));
                     }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -10,7 +10,7 @@
 use stilespan::core::{
     EndpointsUpdate, MAILBOX_CAPACITY, MaintenanceAction, Message, UpstreamCommand,
 };
-use stilespan::interface::{Class, Dur, ListKind, ReplicaId, RequestId, Settings, State};
+use stilespan::interface::{Class, ListKind, ReplicaId, RequestId, Settings, Span, State};
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep, timeout};
 
@@ -145,7 +145,10 @@
 ) {
     let opened = Opened::default();
     let (resolver, _asked) = mpsc::channel(4);
-    let (classes, warm_after) = (vec![Class::default()], Dur(warm_after * 1_000));
+    let (classes, warm_after) = (
+        vec![Class::default()],
+        Span::from_micros(warm_after * 1_000),
+    );
     let settings = Settings {
         classes,
         warm_after,
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -13,7 +13,7 @@
     Answer, Attempt, AttemptResult, CoreHandle, EndpointsUpdate, Message, StartDecision,
     UpstreamCommand,
 };
-use stilespan::interface::{Class, Dur, Effect, ListKind, Outcome, ReplicaId, Settings, State};
+use stilespan::interface::{Class, Effect, ListKind, Outcome, ReplicaId, Settings, Span, State};
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep, timeout};
 
@@ -165,7 +165,7 @@
 async fn no_retry_starts_after_its_window() {
     let class = Class {
         effect: Effect::Keyed,
-        window: Dur(400_000),
+        window: Span::from_millis(400),
         ..Class::default()
     };
     let core = running(2, class).await;
@@ -196,7 +196,7 @@
 async fn timeout_before_first_byte_never_ran(#[case] starts: bool) {
     let class = Class {
         effect: Effect::Unsafe,
-        aim: Dur(200_000),
+        aim: Span::from_millis(200),
         ..Class::default()
     };
     let core = running(1, class).await;
@@ -222,8 +222,8 @@
 async fn no_attempt_from_before_stall_starts() {
     // nothing else ends the attempt as it wakes
     let class = Class {
-        aim: Dur(10_000_000),
-        deadline: Dur(15_000_000),
+        aim: Span::from_secs(10),
+        deadline: Span::from_secs(15),
         ..Class::default()
     };
     let core = running(1, class).await;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -160,10 +160,10 @@
         cross_price: 0.1,
         ..probing()
     };
-    set.classes[0].aim = Dur(400_000);
-    set.classes[0].aim_per_1000 = Dur(60_000);
+    set.classes[0].aim = Span::from_millis(400);
+    set.classes[0].aim_per_1000 = Span::from_millis(60);
     set.classes.push(Class {
-        aim: Dur(3_000_000),
+        aim: Span::from_secs(3),
         ..set.classes[0].clone()
     });
     let mut gateway = Gateway {
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -59,7 +59,7 @@
 fn queue_drains_by_due_time() {
     let mut set = settings();
     set.classes.push(Class {
-        aim: Dur(600_000),
+        aim: Span::from_millis(600),
         ..set.classes[0].clone()
     });
     let mut gateway = Gateway::new(set, 1);
@@ -144,7 +144,7 @@
 #[test]
 fn session_returns_to_its_cache() {
     let mut set = settings();
-    set.classes[0].aim_per_1000 = Dur(100_000);
+    set.classes[0].aim_per_1000 = Span::from_millis(100);
     let mut gateway = Gateway::new(set, 6);
     let turn = |id| Arrival {
         session: Some(77),
@@ -216,7 +216,7 @@
     };
     let run = |cells, window| {
         let mut set = set.clone();
-        set.classes[0].window = Dur(window);
+        set.classes[0].window = Span::from_micros(window);
         let mut gateway = Gateway::new(set, 0);
         gateway.step(0, vec![fleet(cells)]);
         gateway.ask(2_000, arrival(1));
@@ -305,7 +305,7 @@
         gateway.ask(
             0,
             Arrival {
-                hint: Dur(hint),
+                hint: Span::from_micros(hint),
                 ..arrival(1)
             },
         );
@@ -369,14 +369,14 @@
 fn list_polls_have_jitter() {
     let set = Settings {
         ask: true,
-        must_ask_in: Dur(8_000_000),
+        must_ask_in: Span::from_secs(8),
         ..settings()
     };
     let mut times = Vec::new();
     for seed in 0..20 {
         let mut balancer = stilespan::Balancer::new(set.clone(), seed, START);
         let mut now = START;
-        let mut asked = |now: &mut Time, events: Vec<Event>| {
+        let mut asked = |now: &mut Timestamp, events: Vec<Event>| {
             let begin = *now;
             for k in 0..10_000 {
                 let mut actions = Vec::new();
@@ -384,15 +384,15 @@
                 if actions.contains(&Action::Watch) {
                     return *now - begin;
                 }
-                *now = *now + Dur(2_000);
+                *now = *now + Span::from_millis(2);
             }
             panic!("never asked");
         };
         let start = asked(&mut now, vec![]);
-        assert!(start <= Dur(2_000_000));
+        assert!(start <= Span::from_secs(2));
         times.push(start);
         for _ in 0..5 {
-            assert!(asked(&mut now, vec![list(ListKind::Error, vec![])]) <= Dur(8_000_000));
+            assert!(asked(&mut now, vec![list(ListKind::Error, vec![])]) <= Span::from_secs(8));
         }
     }
     times.sort();
@@ -413,7 +413,7 @@
         Event::Probed {
             replica: ReplicaId(8),
             outcome: Outcome::Ok,
-            took: Dur(5),
+            took: Span::from_micros(5),
             report: None,
         },
         Event::Peer {
@@ -566,7 +566,7 @@
     let mut gateway = Gateway::new(settings(), 1);
     assert_eq!(sends(&gateway.ask(2_000, arrival(1))).len(), 1);
     gateway.step(50_000, vec![first(1, 0, 50_000)]);
-    let (request, took, outcome) = (RequestId(1), Dur(4_000_000), Outcome::Reset);
+    let (request, took, outcome) = (RequestId(1), Span::from_secs(4), Outcome::Reset);
     let spoilt = Event::Ended {
         request,
         trial: 0,
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -9,7 +9,7 @@
 /// A replica that serves these models, each with its time to load in microseconds.
 fn serving(replica: u64, models: &[(u32, u64)]) -> Entry {
     Entry {
-        models: Models::only(models.iter().map(|m| (m.0, Dur(m.1)))),
+        models: Models::only(models.iter().map(|m| (m.0, Span::from_micros(m.1)))),
         ..entry(replica)
     }
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -91,7 +91,7 @@
             request,
             trial,
             outcome,
-            took: Dur(took),
+            took: Span::from_micros(took),
             kept,
             closed,
             report,
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -38,8 +38,8 @@
             world.now = timers
                 .first()
                 .copied()
-                .unwrap_or(Time(u64::MAX))
-                .min(world.now + Dur(pause));
+                .unwrap_or(Timestamp::from_micros(u64::MAX))
+                .min(world.now + Span::from_micros(pause));
             timers.retain(|&t| t > world.now);
             let events = world.events();
             let mut actions = Vec::new();
@@ -53,7 +53,7 @@
             // every request is answered within a period of its time, streams aside
             for (id, open) in &world.open {
                 let streams = open.tries.iter().any(|t| t.streaming && t.over.is_none());
-                let due = open.valid_until + Dur(35_000);
+                let due = open.valid_until + Span::from_millis(35);
                 assert!(
                     open.answered || streams || world.now <= due,
                     "seed {seed}: {id} lost"
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -4,11 +4,11 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use stilespan::interface::{Dur, ReplicaId, State, Time};
+use stilespan::interface::{ReplicaId, Span, State, Timestamp};
 use stilespan::routing::*;
 use stilespan::spend::Price;
 
-const AIM: Dur = Dur(400_000);
+const AIM: Span = Span::from_millis(400);
 
 fn spec(name: &str, window: u32, fallback: Option<&str>) -> ModelSpec {
     ModelSpec {
@@ -40,7 +40,7 @@
         all.list(
             ReplicaId(k as u64),
             State::InService,
-            Time(0),
+            Timestamp::ZERO,
             Some(&[name.to_string()]),
         );
     }
@@ -53,7 +53,7 @@
         model: 0,
         prompt,
         cap: None,
-        expires: Time(1_500_000),
+        expires: Timestamp::from_millis(1_500),
         attempts: 3,
         safe: true,
     }
@@ -70,7 +70,7 @@
     Ended {
         attempts,
         sent: false,
-        retry_in: retry_in.map(Dur),
+        retry_in: retry_in.map(Span::from_micros),
         refused: true,
     }
 }
@@ -81,11 +81,11 @@
     let all = hosts(&catalog, &["marker", "hint", "tiny"]);
     let mut needs = Needs::new(AIM);
     let mut route = Route::new(catalog, ask(500), |_| true).unwrap();
-    let leg = tried(route.next(&all, &needs, Time(0)));
+    let leg = tried(route.next(&all, &needs, Timestamp::ZERO));
     // one attempt and the time for it are kept back for the next model
     assert_eq!(
         (leg.model, leg.cap, leg.spent, leg.until),
-        (0, 4_000, 1, Time(1_100_000))
+        (0, 4_000, 1, Timestamp::from_millis(1_100))
     );
     route.ended(
         Ended {
@@ -95,18 +95,21 @@
             refused: true,
         },
         &mut needs,
-        Time(500_000),
+        Timestamp::from_millis(500),
     );
-    let leg = tried(route.next(&all, &needs, Time(500_000)));
+    let leg = tried(route.next(&all, &needs, Timestamp::from_millis(500)));
     assert_eq!((leg.model, leg.cap, leg.spent), (1, 2_000, 2));
-    route.ended(refused(1, None), &mut needs, Time(700_000));
+    route.ended(refused(1, None), &mut needs, Timestamp::from_millis(700));
     let end = GaveUp {
         refused: true,
         attempts: 3,
         retry_in: None,
         no_host: false,
     };
-    assert_eq!(route.next(&all, &needs, Time(700_000)), Step::End(end));
+    assert_eq!(
+        route.next(&all, &needs, Timestamp::from_millis(700)),
+        Step::End(end)
+    );
 }
 
 #[test]
@@ -114,20 +117,38 @@
     let catalog = catalog();
     let mut needs = Needs::new(AIM);
     let mut route = Route::new(catalog.clone(), ask(500), |_| true).unwrap();
-    let leg = tried(route.next(&hosts(&catalog, &["hint"]), &needs, Time(0)));
-    assert_eq!((leg.model, leg.spent, leg.until), (1, 0, Time(1_500_000)));
+    let leg = tried(route.next(&hosts(&catalog, &["hint"]), &needs, Timestamp::ZERO));
+    assert_eq!(
+        (leg.model, leg.spent, leg.until),
+        (1, 0, Timestamp::from_millis(1_500))
+    );
     // the fallback declines and tells when to come back; the preferred is back meanwhile
-    route.ended(refused(0, Some(900_000)), &mut needs, Time(10_000));
-    let leg = tried(route.next(&hosts(&catalog, &["marker", "hint"]), &needs, Time(10_000)));
+    route.ended(
+        refused(0, Some(900_000)),
+        &mut needs,
+        Timestamp::from_millis(10),
+    );
+    let leg = tried(route.next(
+        &hosts(&catalog, &["marker", "hint"]),
+        &needs,
+        Timestamp::from_millis(10),
+    ));
     assert_eq!(leg.model, 0);
-    route.ended(refused(0, Some(300_000)), &mut needs, Time(20_000));
-    let Step::End(end) = route.next(&hosts(&catalog, &["marker", "hint"]), &needs, Time(20_000))
-    else {
+    route.ended(
+        refused(0, Some(300_000)),
+        &mut needs,
+        Timestamp::from_millis(20),
+    );
+    let Step::End(end) = route.next(
+        &hosts(&catalog, &["marker", "hint"]),
+        &needs,
+        Timestamp::from_millis(20),
+    ) else {
         panic!("each model has its turn once");
     };
     assert_eq!(
         (end.refused, end.retry_in, end.no_host),
-        (true, Some(Dur(300_000)), false)
+        (true, Some(Span::from_millis(300)), false)
     );
 }
 
@@ -135,7 +156,8 @@
 fn no_host_at_all_is_said_at_once() {
     let catalog = catalog();
     let mut route = Route::new(catalog.clone(), ask(500), |_| true).unwrap();
-    let Step::End(end) = route.next(&hosts(&catalog, &[]), &Needs::new(AIM), Time(0)) else {
+    let Step::End(end) = route.next(&hosts(&catalog, &[]), &Needs::new(AIM), Timestamp::ZERO)
+    else {
         panic!()
     };
     assert!(end.no_host && end.refused && end.attempts == 0);
@@ -148,13 +170,13 @@
     // the prompt fits the marker alone
     let mut route = Route::new(catalog.clone(), ask(5_000), |_| true).unwrap();
     assert!(matches!(
-        route.next(&hosts(&catalog, &["hint", "tiny"]), &needs, Time(0)),
+        route.next(&hosts(&catalog, &["hint", "tiny"]), &needs, Timestamp::ZERO),
         Step::End(_)
     ));
     // the school may not use the middle one
     let mut route = Route::new(catalog.clone(), ask(500), |m| m != 1).unwrap();
     assert_eq!(
-        tried(route.next(&hosts(&catalog, &["hint", "tiny"]), &needs, Time(0))).model,
+        tried(route.next(&hosts(&catalog, &["hint", "tiny"]), &needs, Timestamp::ZERO)).model,
         2
     );
     assert_eq!(
@@ -174,26 +196,39 @@
     let mut needs = Needs::new(AIM);
     let (marker, hint) = (catalog.model(0).number, catalog.model(1).number);
     for k in 0..50 {
-        needs.learn(marker, 500, Dur(1_300_000), Time(k * 1_000));
-        needs.learn(hint, 500, Dur(100_000), Time(k * 1_000));
+        needs.learn(
+            marker,
+            500,
+            Span::from_millis(1_300),
+            Timestamp::from_micros(k * 1_000),
+        );
+        needs.learn(
+            hint,
+            500,
+            Span::from_millis(100),
+            Timestamp::from_micros(k * 1_000),
+        );
     }
     let mut route = Route::new(
         catalog.clone(),
         Ask {
-            expires: Time(2_500_000),
+            expires: Timestamp::from_millis(2_500),
             ..ask(500)
         },
         |_| true,
     )
     .unwrap();
-    let leg = tried(route.next(&all, &needs, Time(50_000)));
+    let leg = tried(route.next(&all, &needs, Timestamp::from_millis(50)));
     assert_eq!(leg.model, 0);
     assert!(
-        leg.until < Time(2_450_000),
+        leg.until < Timestamp::from_millis(2_450),
         "time for the fallback is kept back: {leg:?}"
     );
     let mut route = Route::new(catalog, ask(500), |_| true).unwrap();
-    assert_eq!(tried(route.next(&all, &needs, Time(900_000))).model, 1);
+    assert_eq!(
+        tried(route.next(&all, &needs, Timestamp::from_millis(900))).model,
+        1
+    );
 }
 
 #[test]
@@ -210,7 +245,7 @@
         |_| true,
     )
     .unwrap();
-    tried(route.next(&all, &needs, Time(0)));
+    tried(route.next(&all, &needs, Timestamp::ZERO));
     route.ended(
         Ended {
             attempts: 1,
@@ -219,9 +254,9 @@
             refused: false,
         },
         &mut needs,
-        Time(1_000),
+        Timestamp::from_millis(1),
     );
-    let Step::End(end) = route.next(&all, &needs, Time(1_000)) else {
+    let Step::End(end) = route.next(&all, &needs, Timestamp::from_millis(1)) else {
         panic!()
     };
     assert!(!end.refused);
@@ -235,7 +270,7 @@
 #[case::no_window(vec![spec("a", 0, None)], 0, "window")]
 #[case::no_base(vec![ModelSpec { base: Some("x".into()), ..spec("a", 10, None) }], 0, "base \"x\" is no model")]
 #[case::own_base(vec![ModelSpec { base: Some("a".into()), ..spec("a", 10, None) }], 0, "adapter itself")]
-#[case::load_without_base(vec![ModelSpec { load: Dur(1), ..spec("a", 10, None) }], 0, "only an adapter")]
+#[case::load_without_base(vec![ModelSpec { load: Span::from_micros(1), ..spec("a", 10, None) }], 0, "only an adapter")]
 fn a_wrong_model_is_named(#[case] specs: Vec<ModelSpec>, #[case] at: usize, #[case] says: &str) {
     match build(&specs) {
         Err(CatalogFault::Model(k, what)) if k == at => assert!(what.contains(says), "{what}"),
@@ -313,13 +348,13 @@
             windows.iter().enumerate().map(|(k, w)| spec(&names[k], *w, names.get(k + 1).map(|n| n.as_str()))).collect();
         let catalog = Arc::new(build(&specs).unwrap());
         let allowed = |m: usize| !forbidden[m];
-        let ask = Ask { model: 0, prompt, cap, expires: Time(1_500_000), attempts, safe };
+        let ask = Ask { model: 0, prompt, cap, expires: Timestamp::from_millis(1_500), attempts, safe };
         let Ok(mut route) = Route::new(catalog.clone(), ask, allowed) else {
             prop_assert!(forbidden[0] || windows[0] <= prompt);
             return Ok(());
         };
         let mut needs = Needs::new(AIM);
-        let (mut now, mut made, mut ran, mut seen) = (Time(0), 0, false, Vec::new());
+        let (mut now, mut made, mut ran, mut seen) = (Timestamp::ZERO, 0, false, Vec::new());
         let mut over = false;
         for (n, sent, refused, took, mask) in moves {
             let with: Vec<&str> = names.iter().enumerate().filter(|(k, _)| mask >> k & 1 == 1).map(|(_, n)| n.as_str()).collect();
@@ -334,13 +369,13 @@
                     prop_assert!(with.contains(&names[leg.model].as_str()));
                     prop_assert!(leg.cap >= 1 && prompt + leg.cap <= windows[leg.model]);
                     prop_assert!(cap.is_none_or(|c| leg.cap <= c));
-                    prop_assert!(leg.until <= Time(1_500_000) && leg.until > now);
+                    prop_assert!(leg.until <= Timestamp::from_millis(1_500) && leg.until > now);
                     prop_assert!(leg.spent >= made && leg.spent < attempts);
                     prop_assert!(safe || !ran);
                     seen.push(leg.model);
                     // the module makes no more than it was left
                     let n = n.min(attempts - leg.spent);
-                    now = (now + Dur(took)).min(leg.until);
+                    now = (now + Span::from_micros(took)).min(leg.until);
                     let sent = sent && n > 0;
                     (made, ran) = (made + n, ran || sent);
                     route.ended(Ended { attempts: n, sent, retry_in: None, refused }, &mut needs, now);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use stilespan::Balancer;
 use stilespan::config::Config;
-use stilespan::interface::{Arrival, Dur, Event, ListKind, Outcome, Time};
+use stilespan::interface::{Arrival, Event, ListKind, Outcome, Span, Timestamp};
 
 /// The places of all values in a JSON value that hold no others.
 fn leaves(value: &Value, at: String, all: &mut Vec<String>) {
@@ -31,7 +31,7 @@
 
 /// Serves a few requests by the settings, with the module alone.
 fn serve(config: &Config) {
-    let start = Time(1_700_000_000_000_000);
+    let start = Timestamp::from_secs(1_700_000_000);
     let mut balancer = Balancer::new(config.settings.clone(), 7, start);
     let mut now = start;
     let classes = config.settings.classes.len() as u32;
@@ -40,7 +40,7 @@
         (0..9)
             .map(|n| {
                 let class = n % (classes + 1);
-                let valid_until = Time(start.0 + 2_000_000);
+                let valid_until = Timestamp::from_micros(start.as_micros() + 2_000_000);
                 Event::Request(Arrival {
                     class,
                     valid_until,
@@ -67,7 +67,7 @@
     ];
     for events in steps {
         let mut actions = Vec::new();
-        now = now + Dur(40_000);
+        now = now + Span::from_millis(40);
         balancer.step(now, &events, &mut actions);
         assert!(actions.len() < 1000, "{} actions", actions.len());
     }
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -26,7 +26,7 @@
         &entries,
     );
     for _ in 0..4 {
-        fleet.round(Dur(1_000_000));
+        fleet.round(Span::from_secs(1));
     }
     let small = fleet.sent.iter().filter(|s| size(s.2) == 1.0).count();
     let part = small as f64 / fleet.sent.len() as f64;
@@ -42,12 +42,12 @@
 #[test]
 fn urgent_requests_get_large_replicas() {
     let pressed = Class {
-        aim: Dur(400_000),
+        aim: Span::from_millis(400),
         ..probing().classes[0].clone()
     };
     let spare = Class {
-        aim: Dur(60_000_000),
-        deadline: Dur(90_000_000),
+        aim: Span::from_secs(60),
+        deadline: Span::from_secs(90),
         ..pressed.clone()
     };
     let set = Settings {
@@ -73,7 +73,7 @@
             );
             let ask = Arrival {
                 class,
-                valid_until: START + Dur(80_000_000),
+                valid_until: START + Span::from_secs(80),
                 ..arrival(1)
             };
             let mut actions = gateway.step(0, vec![Event::Request(ask)]);
