--- a/tests/spend.rs
+++ b/tests/spend.rs
@@ -5,7 +5,7 @@
 
 use jiff::tz::TimeZone;
 use proptest::prelude::*;
-use stilespan::interface::{Dur, Time};
+use stilespan::interface::{Span, Timestamp};
 use stilespan::spend::{Budget, HoldId, Ledger, Length, Limit, Micro, Node, Period, Tree};
 
 const HOUR: u64 = 3_600_000_000;
@@ -28,7 +28,7 @@
         name: "drip".into(),
         limit: Limit::Drip {
             amount,
-            full_in: Dur(HOUR / 60),
+            full_in: Span::from_micros(HOUR / 60),
         },
     }
 }
@@ -178,13 +178,13 @@
         limits in prop::array::uniform6(0..1500u64),
         ops in prop::collection::vec(op(), 1..120),
     ) {
-        let mut ledger = Ledger::new(&tree(&limits, 1), Time(START)).unwrap();
+        let mut ledger = Ledger::new(&tree(&limits, 1), Timestamp::from_micros(START)).unwrap();
         let mut model = Model::new(&limits);
         let mut all: Vec<HoldId> = Vec::new();
         // since a reload lowered a limit, that limit can be exceeded until there is room again
         let mut lowered = false;
         for op in ops {
-            let now = Time(model.now);
+            let now = Timestamp::from_micros(model.now);
             let some = |k: usize, all: &[HoldId]| (!all.is_empty()).then(|| all[k % all.len()]);
             match op {
                 Op::Reserve(node, amount) => {
@@ -201,7 +201,7 @@
                             // it names a node of the asker's own path, and a wait where there is
                             // one
                             prop_assert!(Model::over(PATHS[node], &refusal.node));
-                            prop_assert!(refusal.retry_in.is_none_or(|d| d.0 > 0));
+                            prop_assert!(refusal.retry_in.is_none_or(|d| d.as_micros() > 0));
                         }
                     }
                 }
@@ -243,7 +243,7 @@
             model.pass();
             prop_assert_eq!(ledger.open(), model.holds.len());
             let root = ledger.node("d").unwrap();
-            for report in ledger.reports(root, Time(model.now)) {
+            for report in ledger.reports(root, Timestamp::from_micros(model.now)) {
                 let reserved = model.reserved(&report.path);
                 prop_assert_eq!(u128::from(report.reserved), reserved);
                 let (hour, drip) = &model.sums[report.path.as_str()];
@@ -257,11 +257,11 @@
             }
         }
         for hold in all {
-            ledger.release(hold, Time(model.now));
+            ledger.release(hold, Timestamp::from_micros(model.now));
         }
         prop_assert_eq!(ledger.open(), 0);
         let root = ledger.node("d").unwrap();
-        prop_assert!(ledger.reports(root, Time(model.now)).iter().all(|r| r.reserved == 0));
+        prop_assert!(ledger.reports(root, Timestamp::from_micros(model.now)).iter().all(|r| r.reserved == 0));
     }
 }
 
@@ -270,9 +270,12 @@
     let tree = tree(&[1000; 6], 3);
     let mut used = 0;
     for _ in 0..3 {
-        let mut ledger = Ledger::new(&tree, Time(START)).unwrap();
+        let mut ledger = Ledger::new(&tree, Timestamp::from_micros(START)).unwrap();
         let node = ledger.node("d/n/a").unwrap();
-        while ledger.reserve(node, 10, Time(START)).is_ok() {
+        while ledger
+            .reserve(node, 10, Timestamp::from_micros(START))
+            .is_ok()
+        {
             used += 10;
         }
     }
@@ -282,25 +285,43 @@
 #[test]
 fn a_refusal_says_when_there_is_room() {
     let limits = [10_000, 1_000, 1_000, 1_000, 1_000, 1_000];
-    let mut ledger = Ledger::new(&tree(&limits, 1), Time(START)).unwrap();
+    let mut ledger = Ledger::new(&tree(&limits, 1), Timestamp::from_micros(START)).unwrap();
     let node = ledger.node("d/n/a").unwrap();
-    let whole = ledger.reserve(node, 400, Time(START)).unwrap();
+    let whole = ledger
+        .reserve(node, 400, Timestamp::from_micros(START))
+        .unwrap();
     // only reservations stand in the way: soon
-    let short = ledger.reserve(node, 300, Time(START)).unwrap_err();
+    let short = ledger
+        .reserve(node, 300, Timestamp::from_micros(START))
+        .unwrap_err();
     assert!(
-        short.retry_in.is_some_and(|d| d <= Dur(1_000_000)),
+        short.retry_in.is_some_and(|d| d <= Span::from_secs(1)),
         "{short:?}"
     );
-    ledger.settle(whole, 400, Time(START));
+    ledger.settle(whole, 400, Timestamp::from_micros(START));
     // the drip of 501 lets 200 more in once 99 of them are refilled, and not a moment earlier
-    let short = ledger.reserve(node, 200, Time(START)).unwrap_err();
+    let short = ledger
+        .reserve(node, 200, Timestamp::from_micros(START))
+        .unwrap_err();
     let wait = short.retry_in.unwrap();
-    assert!(ledger.reserve(node, 200, Time(START + wait.0 - 1)).is_err());
-    assert!(ledger.reserve(node, 200, Time(START + wait.0)).is_ok());
+    assert!(
+        ledger
+            .reserve(
+                node,
+                200,
+                Timestamp::from_micros(START + wait.as_micros() - 1)
+            )
+            .is_err()
+    );
+    assert!(
+        ledger
+            .reserve(node, 200, Timestamp::from_micros(START + wait.as_micros()))
+            .is_ok()
+    );
     // what is larger than the whole limit never fits, and says so by naming no time
     assert_eq!(
         ledger
-            .reserve(node, 5_000, Time(START))
+            .reserve(node, 5_000, Timestamp::from_micros(START))
             .unwrap_err()
             .retry_in,
         None
@@ -309,19 +330,25 @@
 
 #[test]
 fn a_reload_keeps_what_is_spent_and_ends_what_is_gone() {
-    let mut ledger = Ledger::new(&tree(&[1_000; 6], 1), Time(START)).unwrap();
+    let mut ledger = Ledger::new(&tree(&[1_000; 6], 1), Timestamp::from_micros(START)).unwrap();
     let node = ledger.node("d/n/a/p").unwrap();
-    let hold = ledger.reserve(node, 200, Time(START)).unwrap();
-    let used = ledger.reserve(node, 200, Time(START)).unwrap();
-    ledger.settle(used, 200, Time(START));
+    let hold = ledger
+        .reserve(node, 200, Timestamp::from_micros(START))
+        .unwrap();
+    let used = ledger
+        .reserve(node, 200, Timestamp::from_micros(START))
+        .unwrap();
+    ledger.settle(used, 200, Timestamp::from_micros(START));
     let smaller = Tree {
         nodes: tree(&[300; 6], 1).nodes[..3].to_vec(),
         instances: 1,
     };
-    ledger.reload(&smaller, Time(START)).unwrap();
+    ledger
+        .reload(&smaller, Timestamp::from_micros(START))
+        .unwrap();
     // the class is gone for new requests; its reservation still counts above it
     let root = ledger.node("d").unwrap();
-    let reports = ledger.reports(root, Time(START));
+    let reports = ledger.reports(root, Timestamp::from_micros(START));
     assert_eq!(reports.len(), 3);
     assert_eq!(
         (reports[0].reserved, reports[0].budgets[0].1.spent),
@@ -329,13 +356,24 @@
     );
     let school = ledger.node("d/n").unwrap();
     assert!(
-        ledger.reserve(school, 1, Time(START)).is_err(),
+        ledger
+            .reserve(school, 1, Timestamp::from_micros(START))
+            .is_err(),
         "lowered below what is taken: it refuses"
     );
-    ledger.settle(hold, 50, Time(START));
+    ledger.settle(hold, 50, Timestamp::from_micros(START));
     assert_eq!(ledger.node("d/n/a/p"), None);
-    assert_eq!(ledger.reports(root, Time(START))[0].budgets[0].1.spent, 250);
-    assert!(ledger.reserve(school, 10, Time(START + HOUR)).is_ok());
+    assert_eq!(
+        ledger.reports(root, Timestamp::from_micros(START))[0].budgets[0]
+            .1
+            .spent,
+        250
+    );
+    assert!(
+        ledger
+            .reserve(school, 10, Timestamp::from_micros(START + HOUR))
+            .is_ok()
+    );
     // a bad tree changes nothing
     let bad = Tree {
         nodes: vec![Node {
@@ -346,7 +384,7 @@
     };
     assert!(
         ledger
-            .reload(&bad, Time(START))
+            .reload(&bad, Timestamp::from_micros(START))
             .unwrap_err()
             .what
             .contains("stands under no node")
@@ -357,24 +395,26 @@
 #[test]
 fn a_snapshot_comes_back() {
     let tree = tree(&[1_000; 6], 1);
-    let mut ledger = Ledger::new(&tree, Time(START)).unwrap();
+    let mut ledger = Ledger::new(&tree, Timestamp::from_micros(START)).unwrap();
     let node = ledger.node("d/n/a").unwrap();
-    let hold = ledger.reserve(node, 300, Time(START)).unwrap();
-    ledger.settle(hold, 300, Time(START));
-    let text = serde_json::to_string(&ledger.snapshot(Time(START))).unwrap();
-    let mut again = Ledger::new(&tree, Time(START + 1)).unwrap();
+    let hold = ledger
+        .reserve(node, 300, Timestamp::from_micros(START))
+        .unwrap();
+    ledger.settle(hold, 300, Timestamp::from_micros(START));
+    let text = serde_json::to_string(&ledger.snapshot(Timestamp::from_micros(START))).unwrap();
+    let mut again = Ledger::new(&tree, Timestamp::from_micros(START + 1)).unwrap();
     again.restore(&serde_json::from_str::<Vec<_>>(&text).unwrap());
     let spent = |ledger: &mut Ledger, at: u64| {
         let root = ledger.node("d").unwrap();
         ledger
-            .reports(root, Time(at))
+            .reports(root, Timestamp::from_micros(at))
             .iter()
             .map(|r| r.budgets[0].1.spent)
             .collect::<Vec<_>>()
     };
     assert_eq!(spent(&mut again, START + 1), spent(&mut ledger, START + 1));
     // a state of an earlier period is not brought back into a later one
-    let mut later = Ledger::new(&tree, Time(START + HOUR)).unwrap();
-    later.restore(&ledger.snapshot(Time(START)));
+    let mut later = Ledger::new(&tree, Timestamp::from_micros(START + HOUR)).unwrap();
+    later.restore(&ledger.snapshot(Timestamp::from_micros(START)));
     assert!(spent(&mut later, START + HOUR).iter().all(|s| *s == 0));
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -34,16 +34,20 @@
     );
     assert_eq!(
         (set.must_ask_in, set.drain_grace),
-        (Dur(10_000_000), Dur(2_000_000))
+        (Span::from_secs(10), Span::from_secs(2))
     );
     let class = &set.classes[0];
     assert_eq!(
         (class.aim, class.aim_per_1000, class.pace),
-        (Dur(1_200_000), Dur(60_000), Dur(80_000))
+        (
+            Span::from_millis(1_200),
+            Span::from_millis(60),
+            Span::from_millis(80)
+        )
     );
     assert_eq!(
         (class.effect, class.group, class.window),
-        (Effect::Keyed, Group::Cell, Dur(4_000_000))
+        (Effect::Keyed, Group::Cell, Span::from_secs(4))
     );
     assert_eq!(
         (set.quotas[0], set.cross_price, set.resume),
@@ -92,9 +96,9 @@
     );
     assert_eq!(
         (a.prompt, a.shared, a.cap, a.valid_until),
-        (1800, 1200, 256, Time(8_652_250))
+        (1800, 1200, 256, Timestamp::from_micros(8_652_250))
     );
-    assert!(a.repeat && a.resumed && a.hint == Dur(12_000));
+    assert!(a.repeat && a.resumed && a.hint == Span::from_millis(12));
     let first = event(
         &mut r,
         "HEADERS i=3 ref=7 trial=1 replica=replica_a took=0.00925",
@@ -104,8 +108,8 @@
         Event::First {
             request: RequestId(7),
             trial: 1,
-            took: Dur(9250)
-        }
+            took
+        } if took == Span::from_micros(9_250)
     ));
     assert!(matches!(
         event(&mut r, "EXPIRED i=3 ref=9"),
@@ -150,12 +154,13 @@
             outcome,
             closed: true,
             kept: Some(40),
-            took: Dur(10),
+            took,
             ..
         } = event(&mut r, &line)
         else {
             panic!("{line}")
         };
+        assert_eq!(took, Span::from_micros(10));
         assert_eq!(
             (outcome, outcome.never_ran()),
             (want, [8, 9, 14].contains(&code))
@@ -183,7 +188,7 @@
             (entries[0].replica, entries[0].cell, entries[0].zone),
             (replica_id(name), 4, 1)
         );
-        assert_eq!(entries[0].started, Time(6_100_000));
+        assert_eq!(entries[0].started, Timestamp::from_millis(6_100));
     }
     r.line("DIRECTORY sheet=0 members-list=0").unwrap();
     let empty = event(&mut r, "MEMBERSHIP i=3 how=Complete generation=42 sheet=0");
@@ -212,7 +217,7 @@
             Action::Send {
                 request,
                 replica,
-                give_up: Some(Dur(80_000)),
+                give_up: Some(Span::from_millis(80)),
             },
             "DISPATCH i=3 ref=5 replica=replica_a give-up-after=0.080000",
         ),
@@ -231,7 +236,7 @@
         (
             Action::Refuse {
                 request,
-                retry_in: Some(Dur(250_000)),
+                retry_in: Some(Span::from_millis(250)),
             },
             "REFUSE i=3 ref=5 retry-in=0.250000",
         ),
@@ -247,7 +252,7 @@
         (Action::Watch, "KEEP_INFORMED i=3 on=1"),
         (
             Action::Timer {
-                at: Time(8_912_250),
+                at: Timestamp::from_micros(8_912_250),
                 mark: 77,
             },
             "WAKE_ME i=3 due-at=8.912250 mark=77",
