--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -8,12 +8,18 @@
 use jiff::tz::TimeZone;
 use stilespan::interface::{Dur, ReplicaId, State, Time};
 use stilespan::ops::metrics::Metrics;
-use stilespan::routing::{Ask, Catalog, Holdings, ModelSpec, Needs, Numbers, Route, Step};
-use stilespan::spend::{Budget, Ledger, Length, Limit, MOST_TOKENS, Node, Period, TOKEN, Tree};
+use stilespan::routing::{
+    Catalog, ChatQuery, FirstTokenEstimates, ModelInventory, ModelNumbers, ModelSpec, Route,
+    RouteStep,
+};
+use stilespan::spend::{
+    Budget, BudgetLimit, BudgetNode, BudgetTree, Ledger, MAX_BUDGET_TOKENS, MICRO_TOKENS_PER_TOKEN,
+    Period, PeriodLength,
+};
 
 const START: Time = Time(1_790_000_000_000_000);
 
-fn tree(nodes: usize) -> Tree {
+fn tree(nodes: usize) -> BudgetTree {
     let period = |length| Period {
         length,
         zone: TimeZone::get("America/New_York").unwrap(),
@@ -21,30 +27,30 @@
     let budgets = || {
         let each = |name: &str, length| Budget {
             name: name.into(),
-            limit: Limit::Each {
-                amount: MOST_TOKENS * TOKEN,
+            limit: BudgetLimit::PerPeriod {
+                amount: MAX_BUDGET_TOKENS * MICRO_TOKENS_PER_TOKEN,
                 period: period(length),
             },
         };
-        let rate = Limit::Drip {
-            amount: MOST_TOKENS * TOKEN,
-            full_in: Dur(1_000_000),
+        let rate = BudgetLimit::TokenBucket {
+            amount: MAX_BUDGET_TOKENS * MICRO_TOKENS_PER_TOKEN,
+            refill_time: Dur(1_000_000),
         };
         vec![
-            each("day", Length::Day),
-            each("week", Length::Week),
+            each("day", PeriodLength::Day),
+            each("week", PeriodLength::Week),
             Budget {
                 name: "rate".into(),
                 limit: rate,
             },
         ]
     };
-    let mut tree = Tree {
+    let mut tree = BudgetTree {
         nodes: Vec::new(),
         instances: 1,
     };
     let mut add = |path: String| {
-        tree.nodes.push(Node {
+        tree.nodes.push(BudgetNode {
             path,
             budgets: budgets(),
         });
@@ -77,15 +83,17 @@
         let leaves: Vec<_> = leaves
             .iter()
             .step_by(7)
-            .map(|n| ledger.node(&n.path).unwrap())
+            .map(|n| ledger.find_node(&n.path).unwrap())
             .collect();
         let (mut k, mut now) = (0, START);
         group.bench_function(BenchmarkId::from_parameter(nodes), |b| {
             b.iter(|| {
                 k = (k + 1) % leaves.len();
                 now.0 += 3;
-                let hold = ledger.reserve(leaves[k], 500 * TOKEN, now).unwrap();
-                black_box(ledger.settle(hold, 300 * TOKEN, now))
+                let hold = ledger
+                    .reserve(leaves[k], 500 * MICRO_TOKENS_PER_TOKEN, now)
+                    .unwrap();
+                black_box(ledger.settle(hold, 300 * MICRO_TOKENS_PER_TOKEN, now))
             });
         });
     }
@@ -97,39 +105,40 @@
     for models in [5, 500] {
         let spec = |k: usize| ModelSpec {
             name: format!("model-{k}"),
-            window: 8_000,
-            max_answer: 1_000,
+            context_window: 8_000,
+            max_output_tokens: 1_000,
             fallback: (k % 5 < 4 && k + 1 < models).then(|| format!("model-{}", k + 1)),
             ..ModelSpec::default()
         };
         let specs: Vec<ModelSpec> = (0..models).map(spec).collect();
-        let catalog = Arc::new(Catalog::build(&specs, &[], &[], &mut Numbers::default()).unwrap());
-        let mut hosts = Holdings::default();
+        let catalog =
+            Arc::new(Catalog::build(&specs, &[], &[], &mut ModelNumbers::default()).unwrap());
+        let mut inventory = ModelInventory::default();
         for k in 0..40 {
             let names: Vec<String> = (0..models)
                 .filter(|m| m % 40 == k % 40)
                 .map(|m| format!("model-{m}"))
                 .collect();
-            hosts.list(ReplicaId(k as u64), State::InService, Time(0), Some(&names));
+            inventory.set_listed(ReplicaId(k as u64), State::InService, Time(0), Some(&names));
         }
-        hosts.count(std::slice::from_ref(&catalog));
-        let mut needs = Needs::new(Dur(400_000));
+        inventory.recount_hosts(std::slice::from_ref(&catalog));
+        let mut estimates = FirstTokenEstimates::new(Dur(400_000));
         let mut k = 0;
         group.bench_function(BenchmarkId::from_parameter(models), |b| {
             b.iter(|| {
                 k = (k + 1) % models;
-                let ask = Ask {
+                let query = ChatQuery {
                     model: k,
-                    prompt: 500,
-                    cap: Some(200),
-                    expires: START + Dur(1_500_000),
-                    attempts: 3,
-                    safe: true,
+                    prompt_tokens: 500,
+                    max_output_tokens: Some(200),
+                    expires_at: START + Dur(1_500_000),
+                    max_attempts: 3,
+                    idempotent: true,
                 };
-                let mut route = Route::new(catalog.clone(), ask, |_| true).unwrap();
-                let step = route.next(&hosts, &needs, START);
-                if let Step::Try(_) = step {
-                    route.answered(&mut needs, START + Dur(50_000));
+                let mut route = Route::new(catalog.clone(), query, |_| true).unwrap();
+                let step = route.next_step(&inventory, &estimates, START);
+                if let RouteStep::Submit(_) = step {
+                    route.answer_started(&mut estimates, START + Dur(50_000));
                 }
                 black_box(step)
             });
--- a/benches/edge.rs
+++ b/benches/edge.rs
@@ -27,7 +27,7 @@
 const NODES: [&str; 5] = ["d", "d/a", "d/b", "d/a/c", "d/a/c/p"];
 
 fn key(node: &str) -> String {
-    identity::new_key(&node.replace('/', "_"), &[3; 32])
+    identity::format_key(&node.replace('/', "_"), &[3; 32])
 }
 
 /// Starts the router with budgets at nodes of these depths, and a share of so many requests a
@@ -53,8 +53,8 @@
             edge.push_str("budgets = [{ per = \"day\", tokens = 1_000_000_000 }]\n");
         }
         let text = key(node);
-        let (id, secret) = identity::parts(&text).unwrap();
-        let hash = identity::written(&identity::hash(secret));
+        let (id, secret) = identity::split_key(&text).unwrap();
+        let hash = identity::format_hash(&identity::hash_secret(secret));
         keys.push_str(&format!(
             "[[key]]\nid = \"{id}\"\nnode = \"{node}\"\nhash = \"{hash}\"\n"
         ));
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -8,7 +8,7 @@
 use crate::edge::config::Book;
 use crate::inventory;
 use crate::router::RouterOptions;
-use crate::routing::Numbers;
+use crate::routing::ModelNumbers;
 
 /// Prints what the files contain.
 pub fn check(options: &RouterOptions) -> Result<(), CommandError> {
@@ -53,7 +53,7 @@
 fn print_edge(path: Option<&Path>, config: &Config) -> Result<(), CommandError> {
     match path {
         Some(path) => {
-            let book = Book::load(path, &config.classes, &mut Numbers::default())?;
+            let book = Book::load(path, &config.classes, &mut ModelNumbers::default())?;
             println!("edge {}: {}", path.display(), book.summary());
         }
         None => println!("edge: off"),
--- a/src/commands/keys.rs
+++ b/src/commands/keys.rs
@@ -15,14 +15,14 @@
 
 /// Makes a key and prints it with its entry for the keys' file.
 pub fn new_key(id: &str, node: &str) -> Result<(), CommandError> {
-    if !identity::is_id(id) {
+    if !identity::is_valid_key_id(id) {
         return Err(CommandError::InvalidKeyId(id.into()));
     }
     let mut random = [0; SECRET_BYTES];
     SysRng
         .try_fill_bytes(&mut random)
         .map_err(CommandError::NoRandomBytes)?;
-    let key = identity::new_key(id, &random);
+    let key = identity::format_key(id, &random);
     println!("# give this to the class, once; it is kept nowhere: {key}");
     print_entry(&key, node);
     Ok(())
@@ -36,7 +36,7 @@
         .read_to_string(&mut text)
         .map_err(CommandError::StandardInput)?;
     let key = text.trim();
-    if identity::parts(key).is_none() {
+    if identity::split_key(key).is_none() {
         return Err(CommandError::NoKeyInInput);
     }
     print_entry(key, "DISTRICT/SCHOOL/CLASS");
@@ -44,8 +44,8 @@
 }
 
 fn print_entry(key: &str, node: &str) {
-    if let Some((id, secret)) = identity::parts(key) {
-        let hash = identity::written(&identity::hash(secret));
+    if let Some((id, secret)) = identity::split_key(key) {
+        let hash = identity::format_hash(&identity::hash_secret(secret));
         println!("[[key]]\nid = {id:?}\nnode = {node:?}\nhash = \"{hash}\"");
     }
 }
--- a/src/edge/config.rs
+++ b/src/edge/config.rs
@@ -11,10 +11,13 @@
 use toml::Spanned;
 
 use crate::config::{ConfigError, read_file};
-use crate::identity::{self, Keys};
+use crate::identity::{self, ApiKeys};
 use crate::interface::Dur;
-use crate::routing::{Catalog, CatalogFault, ModelSpec, Named, Numbers};
-use crate::spend::{Budget, DEPTH, Length, Limit, MOST_TOKENS, Node, Period, Price, TOKEN, Tree};
+use crate::routing::{Catalog, CatalogError, ModelNumbers, ModelSpec, Named};
+use crate::spend::{
+    Budget, BudgetLimit, BudgetNode, BudgetTree, MAX_BUDGET_TOKENS, MAX_DEPTH,
+    MICRO_TOKENS_PER_TOKEN, Period, PeriodLength, Price,
+};
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -125,9 +128,9 @@
     /// The models.
     pub catalog: Arc<Catalog>,
     /// The budgets.
-    pub tree: Tree,
+    pub tree: BudgetTree,
     /// The keys; none where nobody has to show one.
-    pub keys: Option<Keys>,
+    pub keys: Option<ApiKeys>,
     /// The models that a node may use, by their names; nodes that are not named here may use all
     /// that their parent may.
     pub allowed: HashMap<String, Vec<usize>>,
@@ -189,26 +192,26 @@
         let b = raw.get_ref();
         let tokens = u64::try_from(*b.tokens.get_ref())
             .ok()
-            .filter(|t| *t <= MOST_TOKENS);
+            .filter(|t| *t <= MAX_BUDGET_TOKENS);
         let what = || {
             self.wrong(
                 b.tokens.span(),
-                format!("tokens must be 0 to {MOST_TOKENS}"),
+                format!("tokens must be 0 to {MAX_BUDGET_TOKENS}"),
             )
         };
-        let amount = tokens.ok_or_else(what)? * TOKEN;
+        let amount = tokens.ok_or_else(what)? * MICRO_TOKENS_PER_TOKEN;
         if let Some(rate) = &b.per_second {
             if b.per.is_some() || b.refill.is_some() || b.zone.is_some() {
                 return Err(self.wrong(rate.span(), "a rate goes with tokens (its burst) alone"));
             }
             let rate = self.within(rate, "per_second", 0.001, 1e9)?;
-            let full_in = Dur::from_secs(amount as f64 / TOKEN as f64 / rate);
+            let refill_time = Dur::from_secs(amount as f64 / MICRO_TOKENS_PER_TOKEN as f64 / rate);
             let name = b.name.clone().unwrap_or_else(|| "rate".into());
             return Ok(Budget {
                 name,
-                limit: Limit::Drip {
+                limit: BudgetLimit::TokenBucket {
                     amount,
-                    full_in: full_in.max(Dur(1)),
+                    refill_time: refill_time.max(Dur(1)),
                 },
             });
         }
@@ -219,10 +222,10 @@
             ));
         };
         let (length, secs) = match per.get_ref().as_str() {
-            "hour" => (Length::Hour, 3_600),
-            "day" => (Length::Day, 86_400),
-            "week" => (Length::Week, 7 * 86_400),
-            "term" if !common.terms.is_empty() => (Length::Term(common.terms.clone()), 0),
+            "hour" => (PeriodLength::Hour, 3_600),
+            "day" => (PeriodLength::Day, 86_400),
+            "week" => (PeriodLength::Week, 7 * 86_400),
+            "term" if !common.terms.is_empty() => (PeriodLength::Term(common.terms.clone()), 0),
             "term" => return Err(self.wrong(per.span(), "a term needs the days of terms")),
             other => {
                 return Err(self.wrong(
@@ -233,7 +236,7 @@
         };
         let name = b.name.clone().unwrap_or_else(|| per.get_ref().clone());
         let limit = match b.refill.as_ref().map(|r| (r.get_ref().as_str(), r.span())) {
-            None | Some(("start", _)) => Limit::Each {
+            None | Some(("start", _)) => BudgetLimit::PerPeriod {
                 amount,
                 period: Period {
                     length,
@@ -243,9 +246,9 @@
             Some(("drip", at)) if secs == 0 => {
                 return Err(self.wrong(at, "a term has no length to drip over"));
             }
-            Some(("drip", _)) => Limit::Drip {
+            Some(("drip", _)) => BudgetLimit::TokenBucket {
                 amount,
-                full_in: Dur(secs * 1_000_000),
+                refill_time: Dur(secs * 1_000_000),
             },
             Some((_, at)) => return Err(self.wrong(at, "refill must be start or drip")),
         };
@@ -264,7 +267,7 @@
     pub fn load(
         path: &Path,
         classes: &[String],
-        numbers: &mut Numbers,
+        numbers: &mut ModelNumbers,
     ) -> Result<Book, ConfigError> {
         let text = read_file(path)?;
         let (mut book, keys) = Book::parse(path, &text, classes, numbers)?;
@@ -280,7 +283,7 @@
         path: &Path,
         text: &str,
         classes: &[String],
-        numbers: &mut Numbers,
+        numbers: &mut ModelNumbers,
     ) -> Result<(Book, Option<PathBuf>), ConfigError> {
         let file = File { path, text };
         let raw: Raw = file.parse()?;
@@ -294,7 +297,7 @@
             Some(n) if (1..=1000).contains(n.get_ref()) => *n.get_ref(),
             Some(n) => return Err(file.wrong(n.span(), "instances must be 1 to 1000")),
         };
-        let mut tree = Tree {
+        let mut tree = BudgetTree {
             nodes: Vec::with_capacity(raw.node.len()),
             instances,
         };
@@ -306,7 +309,7 @@
                 .iter()
                 .map(|b| file.budget(b, &common))
                 .collect::<Result<_, _>>()?;
-            tree.nodes.push(Node {
+            tree.nodes.push(BudgetNode {
                 path: n.path.clone(),
                 budgets,
             });
@@ -337,7 +340,7 @@
             }
         }
         if let Err(fault) = tree.check() {
-            return Err(file.wrong(raw.node[fault.node].span(), fault.what));
+            return Err(file.wrong(raw.node[fault.node].span(), fault.problem));
         }
         let mut over_share_worth = 1.0;
         let mut rate = f64::INFINITY;
@@ -399,7 +402,7 @@
     /// Whether a node may use a model: it and all above it.
     pub fn may_use(&self, node: &str, model: usize) -> bool {
         let mut path = Some(node);
-        for _ in 0..DEPTH {
+        for _ in 0..MAX_DEPTH {
             let Some(here) = path else { break };
             if self
                 .allowed
@@ -428,7 +431,7 @@
         &self,
         raw: &Raw,
         classes: &[String],
-        numbers: &mut Numbers,
+        numbers: &mut ModelNumbers,
     ) -> Result<Catalog, ConfigError> {
         for class in raw.model.iter().filter_map(|m| m.get_ref().class.as_ref()) {
             if !classes.contains(class.get_ref()) {
@@ -440,9 +443,9 @@
             ModelSpec {
                 name: m.name.clone(),
                 base: m.base.clone(),
-                load: Dur(u64::from(m.load_ms.unwrap_or(0)) * 1000),
-                window: m.window,
-                max_answer: m.max_answer,
+                load_time: Dur(u64::from(m.load_ms.unwrap_or(0)) * 1000),
+                context_window: m.window,
+                max_output_tokens: m.max_answer,
                 fallback: m.fallback.clone(),
                 class: m.class.as_ref().map(|c| c.get_ref().clone()),
             }
@@ -458,8 +461,8 @@
             Named {
                 name: p.model.clone(),
                 value: Price {
-                    prompt: p.prompt,
-                    answer: p.answer,
+                    per_prompt_token: p.prompt,
+                    per_output_token: p.answer,
                 },
             }
         };
@@ -468,9 +471,9 @@
             return Err(self.wrong(0..0, "no [[model]]"));
         }
         Catalog::build(&specs, &aliases, &prices, numbers).map_err(|fault| match fault {
-            CatalogFault::Model(k, what) => self.wrong(raw.model[k].span(), what),
-            CatalogFault::Alias(k, what) => self.wrong(raw.alias[k].span(), what),
-            CatalogFault::Price(k, what) => self.wrong(raw.price[k].span(), what),
+            CatalogError::Model(k, what) => self.wrong(raw.model[k].span(), what),
+            CatalogError::Alias(k, what) => self.wrong(raw.alias[k].span(), what),
+            CatalogError::Price(k, what) => self.wrong(raw.price[k].span(), what),
         })
     }
 
@@ -492,16 +495,16 @@
 
 /// Reads the keys' file. Two keys of a node may be valid at once, so that one can take over from
 /// the other.
-pub fn read_keys(path: &Path, text: &str, tree: &Tree) -> Result<Keys, ConfigError> {
+pub fn read_keys(path: &Path, text: &str, tree: &BudgetTree) -> Result<ApiKeys, ConfigError> {
     let file = File { path, text };
     let raw: RawKeys = file.parse()?;
-    let mut keys = Keys::default();
+    let mut keys = ApiKeys::default();
     let known: std::collections::HashSet<&str> =
         tree.nodes.iter().map(|n| n.path.as_str()).collect();
     for key in &raw.key {
         let k = key.get_ref();
         let wrong = |what: String| Err(file.wrong(key.span(), what));
-        if !identity::is_id(&k.id) {
+        if !identity::is_valid_key_id(&k.id) {
             return wrong(format!(
                 "{:?} is no id of 1 to 32 letters, digits and _",
                 k.id
@@ -510,16 +513,16 @@
         if !known.contains(k.node.as_str()) {
             return wrong(format!("key {}: no node {:?}", k.id, k.node));
         }
-        let Some(hash) = identity::read(&k.hash) else {
+        let Some(hash) = identity::parse_hash(&k.hash) else {
             return wrong(format!(
                 "key {}: its hash must be sha256: and 64 hex digits",
                 k.id
             ));
         };
         if !k.revoked
-            && !keys.add(
+            && !keys.insert(
                 k.id.clone(),
-                identity::Entry {
+                identity::KeyEntry {
                     node: k.node.clone(),
                     hash,
                 },
--- a/src/edge/members.rs
+++ b/src/edge/members.rs
@@ -100,11 +100,11 @@
             let named: std::collections::HashSet<ReplicaId> =
                 resolved.endpoints.iter().map(|h| h.entry.replica).collect();
             hosts.retain(|id, _| named.contains(id));
-            state.holdings.retain(|id| named.contains(&id));
+            state.inventory.retain(|id| named.contains(&id));
         }
         for host in &mut resolved.endpoints {
             let entry = &mut host.entry;
-            state.holdings.list(
+            state.inventory.set_listed(
                 entry.replica,
                 entry.state,
                 entry.started,
@@ -114,7 +114,7 @@
                 hosts.remove(&entry.replica);
                 continue;
             }
-            entry.models = state.holdings.models(entry.replica, &catalogs);
+            entry.models = state.inventory.servable_models(entry.replica, &catalogs);
             let same = hosts
                 .get(&entry.replica)
                 .filter(|k| k.host.entry.started == entry.started);
@@ -128,7 +128,7 @@
                 },
             );
         }
-        state.holdings.count(&catalogs);
+        state.inventory.recount_hosts(&catalogs);
         resolved
     }
 
@@ -138,7 +138,9 @@
         known.asking = false;
         let names = told.names?;
         let mut state = self.state();
-        let (news, differ) = state.holdings.tell(told.replica, told.started, names);
+        let (news, differ) = state
+            .inventory
+            .record_report(told.replica, told.started, names);
         if let Some(differ) = differ {
             let (missing, unlisted) = (differ.missing.join(" "), differ.unlisted.join(" "));
             warn!(
@@ -150,8 +152,8 @@
             return None;
         }
         let catalogs = state.catalogs();
-        state.holdings.count(&catalogs);
-        known.host.entry.models = state.holdings.models(told.replica, &catalogs);
+        state.inventory.recount_hosts(&catalogs);
+        known.host.entry.models = state.inventory.servable_models(told.replica, &catalogs);
         Some(EndpointsUpdate {
             kind: ListKind::Partial,
             endpoints: vec![known.host.clone()],
@@ -162,10 +164,12 @@
     fn anew(&self, hosts: &HashMap<ReplicaId, Known>) -> Option<EndpointsUpdate> {
         let mut state = self.state();
         let catalogs = state.catalogs();
-        state.holdings.count(&catalogs);
+        state.inventory.recount_hosts(&catalogs);
         let of = |known: &Known| {
             let mut host = known.host.clone();
-            host.entry.models = state.holdings.models(host.entry.replica, &catalogs);
+            host.entry.models = state
+                .inventory
+                .servable_models(host.entry.replica, &catalogs);
             host
         };
         Some(EndpointsUpdate {
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -34,10 +34,10 @@
 use crate::config::{Config, ConfigError};
 use crate::core::Clock;
 use crate::core::CoreHandle;
-use crate::identity::Refused;
+use crate::identity::AuthenticationError;
 use crate::interface::{Dur, Effect, Time};
-use crate::routing::{Catalog, Holdings, Needs, Numbers};
-use crate::spend::{Ledger, Moment, NodeId, TOKEN};
+use crate::routing::{Catalog, FirstTokenEstimates, ModelInventory, ModelNumbers};
+use crate::spend::{ClockReading, Ledger, MICRO_TOKENS_PER_TOKEN, NodeId};
 use config::Book;
 use refusals::bad_key;
 pub use refusals::{exhausted, no_model};
@@ -91,12 +91,12 @@
 /// What changes while it serves.
 struct State {
     book: Arc<Book>,
-    numbers: Numbers,
+    numbers: ModelNumbers,
     /// Catalogs that were in force and that something under way may still go by.
     earlier: Vec<Weak<Catalog>>,
     ledger: Ledger,
-    holdings: Holdings,
-    needs: Needs,
+    inventory: ModelInventory,
+    estimates: FirstTokenEstimates,
 }
 
 impl State {
@@ -129,13 +129,13 @@
     pub fn new(
         file: PathBuf,
         book: Book,
-        numbers: Numbers,
+        numbers: ModelNumbers,
         config: &Config,
         core: CoreHandle,
     ) -> Result<Edge, ConfigError> {
         let clock = Clock::start();
         let malformed = |what: String| ConfigError::malformed(&file, what);
-        let ledger = Ledger::new(&book.tree, moment(clock)).map_err(|f| malformed(f.what))?;
+        let ledger = Ledger::new(&book.tree, moment(clock)).map_err(|f| malformed(f.problem))?;
         let classes = config.classes.iter().zip(&config.settings.classes);
         let class = |(name, class): (&String, &crate::interface::Class)| Class {
             name: name.clone(),
@@ -154,8 +154,8 @@
             numbers,
             earlier: Vec::new(),
             ledger,
-            holdings: Holdings::default(),
-            needs: Needs::new(first),
+            inventory: ModelInventory::default(),
+            estimates: FirstTokenEstimates::new(first),
         };
         Ok(Edge {
             file,
@@ -178,7 +178,7 @@
     }
 
     /// The time as budgets go by it.
-    fn moment(&self) -> Moment {
+    fn moment(&self) -> ClockReading {
         moment(self.clock)
     }
 
@@ -195,7 +195,7 @@
         state
             .ledger
             .reload(&book.tree, now)
-            .map_err(|f| malformed(f.what))?;
+            .map_err(|f| malformed(f.problem))?;
         if book.schools != state.book.schools {
             warn!(
                 "{}: schools' shares changed: they come into force with the next start",
@@ -219,18 +219,18 @@
         let Some(keys) = &state.book.keys else {
             return Ok(Caller::default());
         };
-        match keys.check(authorization) {
+        match keys.authenticate(authorization) {
             Ok((key, node)) => Ok(Caller(Some(Known {
                 key: key.into(),
                 node: node.into(),
             }))),
             Err(why) => {
                 let (message, code) = match why {
-                    Refused::Missing => (
+                    AuthenticationError::Missing => (
                         "no API key was given: Authorization: Bearer KEY",
                         "missing_api_key",
                     ),
-                    Refused::Unknown => ("the API key is not valid", "invalid_api_key"),
+                    AuthenticationError::Unknown => ("the API key is not valid", "invalid_api_key"),
                 };
                 Err(bad_key(message, code))
             }
@@ -270,17 +270,17 @@
     pub fn budgets(&self, caller: &Caller) -> Value {
         let now = self.moment();
         let mut state = self.state();
-        let node: Option<NodeId> = caller.node().and_then(|n| state.ledger.node(n));
+        let node: Option<NodeId> = caller.node().and_then(|n| state.ledger.find_node(n));
         let reports = node
-            .map(|node| state.ledger.reports(node, now))
+            .map(|node| state.ledger.subtree_usage(node, now))
             .unwrap_or_default();
-        let whole = |amount: u64| amount.div_ceil(TOKEN);
+        let whole = |amount: u64| amount.div_ceil(MICRO_TOKENS_PER_TOKEN);
         let data: Vec<Value> = reports
             .into_iter()
             .map(|report| {
-                let budget = |(name, reading): &(String, crate::spend::Reading)| {
-                    let refills = (reading.refills.0 < u64::MAX).then_some(reading.refills.0 / 1_000_000);
-                    json!({"name": name, "limit": reading.limit / TOKEN, "used": whole(reading.spent),
+                let budget = |(name, reading): &(String, crate::spend::BudgetStatus)| {
+                    let refills = (reading.refills_at.0 < u64::MAX).then_some(reading.refills_at.0 / 1_000_000);
+                    json!({"name": name, "limit": reading.limit / MICRO_TOKENS_PER_TOKEN, "used": whole(reading.spent),
                     "reserved": whole(report.reserved), "refills_at": refills})
                 };
                 json!({"object": "budget", "node": report.path, "uncharged": whole(report.uncharged),
@@ -302,8 +302,8 @@
             .book
             .keys
             .as_ref()
-            .is_some_and(|keys| keys.holds(key, node));
-        let node = self.ledger.node(node).filter(|_| valid);
+            .is_some_and(|keys| keys.is_valid_for(key, node));
+        let node = self.ledger.find_node(node).filter(|_| valid);
         node.map(Some)
             .ok_or_else(|| bad_key("the API key is not valid", "invalid_api_key"))
     }
@@ -319,15 +319,15 @@
         let model = catalog.model(at);
         let name = |at: &usize| catalog.model(*at).name.clone();
         json!({"id": model.name, "object": "model", "created": 0, "owned_by": "stilespan",
-            "context_window": model.window, "max_output_tokens": model.max_answer,
+            "context_window": model.context_window, "max_output_tokens": model.max_output_tokens,
             "base": model.base.as_ref().map(name), "aliases": catalog.aliases(at),
-            "fallbacks": model.chain[1..].iter().map(name).collect::<Vec<_>>(),
-            "hosts": self.holdings.hosts(model.number)})
+            "fallbacks": model.fallback_chain[1..].iter().map(name).collect::<Vec<_>>(),
+            "hosts": self.inventory.host_count(model.number)})
     }
 }
 
-fn moment(clock: Clock) -> Moment {
-    Moment {
+fn moment(clock: Clock) -> ClockReading {
+    ClockReading {
         monotonic: clock.time_at(Instant::now()),
         wall: clock.wall_time(),
     }
--- a/src/edge/refusals.rs
+++ b/src/edge/refusals.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::api::ApiError;
-use crate::spend::{Moment, Refusal, TOKEN};
+use crate::spend::{BudgetExceeded, ClockReading, MICRO_TOKENS_PER_TOKEN};
 
 /// The error for a key that is not valid, or is missing.
 pub(super) fn bad_key(message: &str, code: &'static str) -> ApiError {
@@ -24,12 +24,12 @@
 }
 
 /// The error for a budget that has no room.
-pub fn exhausted(refusal: &Refusal, now: Moment) -> ApiError {
-    let Refusal {
+pub fn exhausted(refusal: &BudgetExceeded, now: ClockReading) -> ApiError {
+    let BudgetExceeded {
         node,
         budget,
-        retry_in,
-        reading,
+        retry_after: retry_in,
+        status: reading,
         reserved,
         depth,
     } = refusal;
@@ -45,14 +45,14 @@
             .limit
             .saturating_sub(reading.spent)
             .saturating_sub(*reserved)
-            / TOKEN;
-        let reset = (reading.refills - now.wall).0.div_ceil(1_000_000);
+            / MICRO_TOKENS_PER_TOKEN;
+        let reset = (reading.refills_at - now.wall).0.div_ceil(1_000_000);
         e = e
             .with(
                 "RateLimit-Policy",
                 format!(
                     "\"{budget}\";q={};w={window};qu=\"tokens\"",
-                    reading.limit / TOKEN
+                    reading.limit / MICRO_TOKENS_PER_TOKEN
                 ),
             )
             .with("RateLimit", format!("\"{budget}\";r={left};t={reset}"));
--- a/src/edge/service.rs
+++ b/src/edge/service.rs
@@ -18,8 +18,10 @@
 use crate::interface::Dur;
 use crate::net::upstream::payload;
 use crate::request_ids::RequestIdGuard;
-use crate::routing::{Ask, Catalog, Ended, GaveUp, Leg, NotAsked, Route, Step};
-use crate::spend::{HoldId, NodeId, Price, Refusal};
+use crate::routing::{
+    Catalog, ChatQuery, Route, RouteError, RouteExhausted, RouteStep, Submission, SubmissionEnd,
+};
+use crate::spend::{BudgetExceeded, NodeId, Price, ReservationId};
 
 /// The longest patience of a client that is believed.
 const MAX_PATIENCE: Duration = Duration::from_secs(600);
@@ -75,7 +77,7 @@
 struct Account {
     edge: Arc<Edge>,
     node: Option<NodeId>,
-    hold: Option<HoldId>,
+    hold: Option<ReservationId>,
     price: Price,
     /// Tokens of the prompt, as estimated.
     prompt: u64,
@@ -87,10 +89,10 @@
 
 impl Account {
     /// Reserves for a leg, in place of what was reserved for an earlier one.
-    fn reserve(&mut self, price: Price, answer: u64) -> Result<(), Refusal> {
+    fn reserve(&mut self, price: Price, answer: u64) -> Result<(), BudgetExceeded> {
         (self.price, self.answer) = (price, answer);
         let Some(node) = self.node else { return Ok(()) };
-        let (amount, now) = (price.of(self.prompt, answer), self.edge.moment());
+        let (amount, now) = (price.cost(self.prompt, answer), self.edge.moment());
         let ledger = &mut self.edge.state().ledger;
         match self.hold {
             Some(hold) => ledger.resize(hold, amount, now),
@@ -101,7 +103,7 @@
     }
 
     /// Makes room for so many tokens of the answer, if there is any.
-    fn cover(&mut self, answer: u64, slice: u64) -> Result<(), Refusal> {
+    fn cover(&mut self, answer: u64, slice: u64) -> Result<(), BudgetExceeded> {
         if answer <= self.answer {
             return Ok(());
         }
@@ -111,7 +113,7 @@
         let need = answer - self.answer;
         let mut take = |tokens: u64| {
             ledger
-                .extend(hold, self.price.of(0, tokens), now)
+                .extend(hold, self.price.cost(0, tokens), now)
                 .map(|()| tokens)
         };
         let got = take(need.max(slice)).or_else(|_| take(need))?;
@@ -127,7 +129,7 @@
             self.edge
                 .state()
                 .ledger
-                .settle(hold, self.price.of(used.prompt, used.answer), now);
+                .settle(hold, self.price.cost(used.prompt, used.answer), now);
         if charge.uncharged > 0 {
             debug!(
                 "{} of {} micro-tokens are beyond the budget and not charged",
@@ -209,13 +211,17 @@
         loop {
             let step = {
                 let state = &*self.state();
-                route.next(&state.holdings, &state.needs, self.now())
+                route.next_step(&state.inventory, &state.estimates, self.now())
             };
             let leg = match step {
-                Step::Try(leg) => leg,
-                Step::End(gave) => {
+                RouteStep::Submit(leg) => leg,
+                RouteStep::Exhausted(gave) => {
                     span.record("attempts", gave.attempts);
-                    debug!(refused = gave.refused, no_host = gave.no_host, "not served");
+                    debug!(
+                        refused = gave.rejected,
+                        no_host = gave.no_host,
+                        "not served"
+                    );
                     if !sent {
                         trace.release();
                     }
@@ -224,15 +230,17 @@
             };
             let catalog = route.catalog().clone();
             let model = catalog.model(leg.model);
-            let answer = chat.cap.map_or(slice.min(leg.cap), |_| leg.cap);
+            let answer = chat
+                .cap
+                .map_or(slice.min(leg.max_output_tokens), |_| leg.max_output_tokens);
             if let Err(refusal) = account.reserve(model.price, answer.into()) {
                 if submitted {
                     // a dearer fallback that the budget does not hold is passed over
-                    route.passed();
+                    route.skip_submission();
                     continue;
                 }
                 trace.release();
-                let retry_in = refusal.retry_in.map(|d| Duration::from_micros(d.0));
+                let retry_in = refusal.retry_after.map(|d| Duration::from_micros(d.0));
                 debug!(node = refusal.node, budget = refusal.budget, "no budget");
                 let error = exhausted(&refusal, self.moment());
                 return Err(Declined {
@@ -254,13 +262,18 @@
                 client: client.clone(),
                 ..rpc
             };
-            debug!(model = model.name, spent = leg.spent, cap = leg.cap, "leg");
+            debug!(
+                model = model.name,
+                spent = leg.unavailable_attempts,
+                cap = leg.max_output_tokens,
+                "leg"
+            );
             let Ok(mut ticket) = self.core.submit(rpc).await else {
                 return Err(ApiError::new(503, None, "the router is ending").into());
             };
             let ended = match ticket.answer().await {
                 Answer::Started(pieces) => {
-                    route.answered(&mut self.state().needs, self.now());
+                    route.answer_started(&mut self.state().estimates, self.now());
                     account.passed = Some(Usage {
                         prompt: account.prompt,
                         answer: 0,
@@ -284,31 +297,31 @@
                     });
                 }
                 Answer::Rejected {
-                    retry_after: retry_in,
-                    forwarded: sent,
+                    retry_after,
+                    forwarded,
                     attempts,
                 } => {
-                    let retry_in = retry_in.map(|d| Dur(d.as_micros() as u64));
-                    Ended {
+                    let retry_after = retry_after.map(|d| Dur(d.as_micros() as u64));
+                    SubmissionEnd {
                         attempts,
-                        sent,
-                        retry_in,
-                        refused: true,
+                        forwarded,
+                        retry_after,
+                        rejected: true,
                     }
                 }
                 Answer::Failed {
-                    forwarded: sent,
+                    forwarded,
                     attempts,
-                } => Ended {
+                } => SubmissionEnd {
                     attempts,
-                    sent,
-                    retry_in: None,
-                    refused: false,
+                    forwarded,
+                    retry_after: None,
+                    rejected: false,
                 },
             };
             ticket.complete();
-            sent |= ended.sent;
-            route.ended(ended, &mut self.state().needs, self.now());
+            sent |= ended.forwarded;
+            route.submission_ended(ended, &mut self.state().estimates, self.now());
         }
     }
 
@@ -340,18 +353,20 @@
             .min(MAX_PATIENCE);
         let node = state.spender(caller)?;
         drop(state);
-        let ask = Ask {
+        let query = ChatQuery {
             model,
-            prompt: chat.prompt,
-            cap: chat.cap,
-            expires: self.clock.time_at(received) + Dur(patience.as_micros() as u64),
-            attempts: self.attempts,
-            safe: self.classes[class].safe,
+            prompt_tokens: chat.prompt,
+            max_output_tokens: chat.cap,
+            expires_at: self.clock.time_at(received) + Dur(patience.as_micros() as u64),
+            max_attempts: self.attempts,
+            idempotent: self.classes[class].safe,
         };
         let allowed = |at| caller.node().is_none_or(|node| book.may_use(node, at));
-        let route = Route::new(book.catalog.clone(), ask, allowed).map_err(|why| match why {
-            NotAsked::Forbidden => no_model(&chat.model),
-            NotAsked::TooLong(window) => {
+        let route = Route::new(book.catalog.clone(), query, allowed).map_err(|why| match why {
+            RouteError::ModelForbidden => no_model(&chat.model),
+            RouteError::PromptTooLong {
+                context_window: window,
+            } => {
                 let message = format!(
                     "the messages come to about {} tokens; the model's window holds {window}",
                     chat.prompt
@@ -395,21 +410,21 @@
         chat: &Chat,
         name: &str,
         number: u32,
-        leg: &Leg,
+        leg: &Submission,
         trace: &str,
     ) -> Request {
         let patience = self
             .clock
-            .instant_at(leg.until)
+            .instant_at(leg.deadline)
             .saturating_duration_since(attributes.received_at);
         let attributes = RequestAttributes {
-            max_output_tokens: leg.cap,
+            max_output_tokens: leg.max_output_tokens,
             timeout: patience,
             model: number,
-            prior_attempts: leg.spent,
+            prior_attempts: leg.unavailable_attempts,
             ..attributes.clone()
         };
-        let body = chat.body_for(name, leg.cap).into();
+        let body = chat.body_for(name, leg.max_output_tokens).into();
         let payload = payload("POST", "/v1/chat/completions", Some(trace), None, body);
         Request {
             attributes,
@@ -420,17 +435,17 @@
 }
 
 /// The one final answer of an RPC that no model of its chain served.
-fn gave_up(gave: &GaveUp) -> Declined {
-    let retry_in = gave.retry_in.map(|d| Duration::from_micros(d.0));
+fn gave_up(gave: &RouteExhausted) -> Declined {
+    let retry_in = gave.retry_after.map(|d| Duration::from_micros(d.0));
     let error = match gave {
-        GaveUp { no_host: true, .. } => {
+        RouteExhausted { no_host: true, .. } => {
             let what =
                 "no server has the model or one of its fallbacks now; trying again is harmless";
             ApiError::new(503, None, what)
                 .code("model_unavailable")
                 .retry_in(retry_in)
         }
-        GaveUp { refused: true, .. } => {
+        RouteExhausted { rejected: true, .. } => {
             let what = "refused: no server could answer in time; trying again is harmless";
             ApiError::new(503, None, what)
                 .code("overloaded")
@@ -516,10 +531,10 @@
 
     /// Ends the answer where its budget does: the client gets a proper end that says why, the
     /// attempt is called off.
-    fn cut_off(&mut self, refusal: &Refusal, out: &mut BytesMut) {
+    fn cut_off(&mut self, refusal: &BudgetExceeded, out: &mut BytesMut) {
         let (prompt, answer) = (self.account.prompt, self.meter.counted());
         let usage = json!({"prompt_tokens": prompt, "completion_tokens": answer, "total_tokens": prompt + answer});
-        let retry_in = refusal.retry_in.map(|d| d.0.div_ceil(1_000_000));
+        let retry_in = refusal.retry_after.map(|d| d.0.div_ceil(1_000_000));
         let why = json!({"code": "budget_exhausted", "node": refusal.node, "budget": refusal.budget,
             "retry_in_s": retry_in});
         let event = |choices: Value| {
@@ -542,7 +557,7 @@
     }
 
     fn finish(&mut self, end: Part) {
-        let window = self.catalog.model(self.model).window;
+        let window = self.catalog.model(self.model).context_window;
         let (used, believed) = self.meter.used(self.account.prompt, window.into());
         if believed == Some(false) {
             warn!(parent: &self.span, model = self.model(), "the server tells a usage that can't be; the answer's length counts");
--- a/src/identity.rs
+++ b/src/identity.rs
@@ -10,27 +10,27 @@
 use subtle::ConstantTimeEq;
 
 /// A key's text holds so much at most.
-const MOST_KEY: usize = 128;
-/// Keys at the most.
-pub const MOST_KEYS: usize = 200_000;
+const MAX_KEY_LENGTH: usize = 128;
+/// ApiKeys at the most.
+pub const MAX_KEYS: usize = 200_000;
 /// Bytes of a secret.
-const SECRET: usize = 32;
+const SECRET_BYTES: usize = 32;
 
 /// The hash of a secret.
-pub type Hash = [u8; 32];
+pub type SecretHash = [u8; 32];
 
 /// A key as it is held.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct KeyEntry {
     /// The path of the node that it stands for.
     pub node: String,
     /// The hash of its secret.
-    pub hash: Hash,
+    pub hash: SecretHash,
 }
 
 /// Why a key is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum AuthenticationError {
     /// None was shown.
     Missing,
     /// It is none of those that are valid.
@@ -39,12 +39,12 @@
 
 /// All valid keys, by their IDs.
 #[derive(Clone, Debug, Default)]
-pub struct Keys(FxHashMap<String, Entry>);
+pub struct ApiKeys(FxHashMap<String, KeyEntry>);
 
-impl Keys {
+impl ApiKeys {
     /// Adds a key; false where its ID is taken or there are too many.
-    pub fn add(&mut self, id: String, entry: Entry) -> bool {
-        if self.0.len() >= MOST_KEYS || self.0.contains_key(&id) {
+    pub fn insert(&mut self, id: String, entry: KeyEntry) -> bool {
+        if self.0.len() >= MAX_KEYS || self.0.contains_key(&id) {
             return false;
         }
         self.0.insert(id, entry);
@@ -62,54 +62,55 @@
     }
 
     /// Whether a key of this ID is valid for this node still.
-    pub fn holds(&self, id: &str, node: &str) -> bool {
+    pub fn is_valid_for(&self, id: &str, node: &str) -> bool {
         self.0.get(id).is_some_and(|e| e.node == node)
     }
 
     /// The ID and the node's path that the value of an `Authorization` header stands for.
-    pub fn check<'a>(
+    pub fn authenticate<'a>(
         &'a self,
         authorization: Option<&'a str>,
-    ) -> Result<(&'a str, &'a str), Refused> {
-        let shown = authorization.ok_or(Refused::Missing)?.trim();
+    ) -> Result<(&'a str, &'a str), AuthenticationError> {
+        let shown = authorization.ok_or(AuthenticationError::Missing)?.trim();
         let key = shown
             .split_once(' ')
             .filter(|(scheme, _)| scheme.eq_ignore_ascii_case("bearer"));
-        let key = key.ok_or(Refused::Missing)?.1.trim();
-        let (id, secret) = parts(key).ok_or(Refused::Unknown)?;
+        let key = key.ok_or(AuthenticationError::Missing)?.1.trim();
+        let (id, secret) = split_key(key).ok_or(AuthenticationError::Unknown)?;
         let entry = self.0.get(id);
-        let same = hash(secret).ct_eq(&entry.map_or([0; 32], |e| e.hash));
+        let same = hash_secret(secret).ct_eq(&entry.map_or([0; 32], |e| e.hash));
         entry
             .filter(|_| bool::from(same))
             .map(|e| (id, e.node.as_str()))
-            .ok_or(Refused::Unknown)
+            .ok_or(AuthenticationError::Unknown)
     }
 }
 
 /// Whether a text can be a key's ID.
-pub fn is_id(text: &str) -> bool {
+pub fn is_valid_key_id(text: &str) -> bool {
     (1..=32).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_')
 }
 
 /// A key's ID and its secret.
-pub fn parts(key: &str) -> Option<(&str, &str)> {
+pub fn split_key(key: &str) -> Option<(&str, &str)> {
     let (id, secret) = key.strip_prefix("sk-")?.split_once('-')?;
-    (key.len() <= MOST_KEY && is_id(id) && !secret.is_empty()).then_some((id, secret))
+    (key.len() <= MAX_KEY_LENGTH && is_valid_key_id(id) && !secret.is_empty())
+        .then_some((id, secret))
 }
 
 /// The hash of a secret.
-pub fn hash(secret: &str) -> Hash {
+pub fn hash_secret(secret: &str) -> SecretHash {
     Sha256::digest(secret.as_bytes()).into()
 }
 
 /// A hash as files hold it.
-pub fn written(hash: &Hash) -> String {
+pub fn format_hash(hash: &SecretHash) -> String {
     let hex: String = hash.iter().map(|b| format!("{b:02x}")).collect();
     format!("sha256:{hex}")
 }
 
 /// Reads a hash as files hold it.
-pub fn read(text: &str) -> Option<Hash> {
+pub fn parse_hash(text: &str) -> Option<SecretHash> {
     let hex = text
         .strip_prefix("sha256:")
         .filter(|h| h.len() == 64 && h.is_ascii())?;
@@ -121,7 +122,7 @@
 }
 
 /// A new key, of random bytes that the caller brings.
-pub fn new_key(id: &str, random: &[u8; SECRET]) -> String {
+pub fn format_key(id: &str, random: &[u8; SECRET_BYTES]) -> String {
     use base64::Engine;
     format!(
         "sk-{id}-{}",
@@ -135,20 +136,20 @@
 
     #[test]
     fn only_the_whole_key_is_valid() {
-        let key = new_key("k1", &[7; 32]);
-        let (id, secret) = parts(&key).unwrap();
-        let entry = Entry {
+        let key = format_key("k1", &[7; 32]);
+        let (id, secret) = split_key(&key).unwrap();
+        let entry = KeyEntry {
             node: "lakes/north/7b".into(),
-            hash: read(&written(&hash(secret))).unwrap(),
+            hash: parse_hash(&format_hash(&hash_secret(secret))).unwrap(),
         };
-        let mut keys = Keys::default();
-        assert!(keys.add(id.into(), entry.clone()) && !keys.add(id.into(), entry));
+        let mut keys = ApiKeys::default();
+        assert!(keys.insert(id.into(), entry.clone()) && !keys.insert(id.into(), entry));
         assert_eq!(
-            keys.check(Some(&format!("Bearer {key}"))),
+            keys.authenticate(Some(&format!("Bearer {key}"))),
             Ok(("k1", "lakes/north/7b"))
         );
         assert_eq!(
-            keys.check(Some(&format!("bearer  {key} "))),
+            keys.authenticate(Some(&format!("bearer  {key} "))),
             Ok(("k1", "lakes/north/7b"))
         );
         for wrong in [
@@ -160,13 +161,16 @@
             "sk-k1",
         ] {
             assert_eq!(
-                keys.check(Some(&format!("Bearer {wrong}"))),
-                Err(Refused::Unknown),
+                keys.authenticate(Some(&format!("Bearer {wrong}"))),
+                Err(AuthenticationError::Unknown),
                 "{wrong}"
             );
         }
-        assert_eq!(keys.check(None), Err(Refused::Missing));
-        assert_eq!(keys.check(Some(&key)), Err(Refused::Missing));
-        assert_eq!(read("sha256:zz"), None);
+        assert_eq!(keys.authenticate(None), Err(AuthenticationError::Missing));
+        assert_eq!(
+            keys.authenticate(Some(&key)),
+            Err(AuthenticationError::Missing)
+        );
+        assert_eq!(parse_hash("sha256:zz"), None);
     }
 }
--- a/src/router/open/edge.rs
+++ b/src/router/open/edge.rs
@@ -12,13 +12,13 @@
 use crate::edge::{Edge, members};
 use crate::error::RunError;
 use crate::net::connection_limit::ConnectionLimit;
-use crate::routing::Numbers;
+use crate::routing::ModelNumbers;
 
 /// The edge's file, read and checked.
 pub(super) struct EdgeFile {
     path: PathBuf,
     book: Book,
-    numbers: Numbers,
+    numbers: ModelNumbers,
 }
 
 impl EdgeFile {
@@ -32,7 +32,7 @@
         let Some(path) = path else {
             return Ok(None);
         };
-        let mut numbers = Numbers::default();
+        let mut numbers = ModelNumbers::default();
         let book = Book::load(&path, &config.classes, &mut numbers)?;
         if !has_batch {
             return Err(ConfigError::Missing(
--- a/src/routing/catalog.rs
+++ b/src/routing/catalog.rs
@@ -2,9 +2,9 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{MOST_ALIASES, MOST_CHAIN, MOST_MODELS, MOST_NUMBERS};
+use super::{MAX_ALIASES, MAX_FALLBACK_CHAIN, MAX_MODEL_NUMBERS, MAX_MODELS};
 use crate::interface::Dur;
-use crate::spend::{MOST_PRICE, Price};
+use crate::spend::{MAX_TOKEN_PRICE, Price};
 
 /// A model as it is written down.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -14,11 +14,11 @@
     /// The model that it is an adapter of.
     pub base: Option<String>,
     /// What the first use on a host costs that has only the base.
-    pub load: Dur,
+    pub load_time: Dur,
     /// Tokens that prompt and answer may hold together.
-    pub window: u32,
+    pub context_window: u32,
     /// Tokens that an answer may have.
-    pub max_answer: u32,
+    pub max_output_tokens: u32,
     /// The model to fall back to; its own fallback follows it.
     pub fallback: Option<String>,
     /// The class of its RPCs, where they name none.
@@ -36,7 +36,7 @@
 
 /// Which entry is wrong, and how.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CatalogFault {
+pub enum CatalogError {
     /// A model, by its place in the list.
     Model(usize, String),
     /// An alias.
@@ -48,15 +48,15 @@
 /// The models' numbers, which the decision module goes by. A name keeps its number over reloads, so
 /// that what is under way means the same model before and after.
 #[derive(Clone, Debug, Default)]
-pub struct Numbers(FxHashMap<String, u32>);
+pub struct ModelNumbers(FxHashMap<String, u32>);
 
-impl Numbers {
+impl ModelNumbers {
     /// The number of a name, a new one where it has none; none once there are too many.
-    fn of(&mut self, name: &str) -> Option<u32> {
+    fn assign(&mut self, name: &str) -> Option<u32> {
         let next = self.0.len() as u32 + 1;
         match self.0.get(name) {
             Some(&number) => Some(number),
-            None if next <= MOST_NUMBERS => {
+            None if next <= MAX_MODEL_NUMBERS => {
                 self.0.insert(name.to_string(), next);
                 Some(next)
             }
@@ -75,27 +75,27 @@
     /// The place of the model that it is an adapter of.
     pub base: Option<usize>,
     /// What the first use on a host costs that has only the base.
-    pub load: Dur,
+    pub load_time: Dur,
     /// Tokens that prompt and answer may hold together.
-    pub window: u32,
+    pub context_window: u32,
     /// Tokens that an answer may have.
-    pub max_answer: u32,
+    pub max_output_tokens: u32,
     /// The class of its RPCs, where they name none.
     pub class: Option<String>,
     /// What its tokens cost.
     pub price: Price,
     /// The places of the models of its chain, itself first.
-    pub chain: Vec<usize>,
+    pub fallback_chain: Vec<usize>,
 }
 
 impl Model {
     /// The most tokens that an answer to so long a prompt may have; none where the window doesn't
     /// hold the prompt and one token of an answer.
-    pub fn room(&self, prompt: u32) -> Option<u32> {
-        self.window
+    pub fn max_output_for(&self, prompt: u32) -> Option<u32> {
+        self.context_window
             .checked_sub(prompt)
             .filter(|&left| left > 0)
-            .map(|left| left.min(self.max_answer))
+            .map(|left| left.min(self.max_output_tokens))
     }
 }
 
@@ -112,13 +112,13 @@
         specs: &[ModelSpec],
         aliases: &[Named<String>],
         prices: &[Named<Price>],
-        numbers: &mut Numbers,
-    ) -> Result<Catalog, CatalogFault> {
+        numbers: &mut ModelNumbers,
+    ) -> Result<Catalog, CatalogError> {
         let mut catalog = Catalog::default();
         for (k, spec) in specs.iter().enumerate() {
-            let fault = |what: String| Err(CatalogFault::Model(k, what));
-            if k >= MOST_MODELS {
-                return fault(format!("over {MOST_MODELS} models"));
+            let fault = |what: String| Err(CatalogError::Model(k, what));
+            if k >= MAX_MODELS {
+                return fault(format!("over {MAX_MODELS} models"));
             }
             if !plain(&spec.name) {
                 return fault(format!(
@@ -126,7 +126,10 @@
                     spec.name
                 ));
             }
-            if spec.window == 0 || spec.max_answer == 0 || spec.max_answer > spec.window {
+            if spec.context_window == 0
+                || spec.max_output_tokens == 0
+                || spec.max_output_tokens > spec.context_window
+            {
                 return fault(format!(
                     "{}: the window must hold an answer, and an answer a token",
                     spec.name
@@ -137,8 +140,8 @@
             }
         }
         for (k, spec) in specs.iter().enumerate() {
-            let fault = |what| CatalogFault::Model(k, what);
-            let number = numbers.of(&spec.name);
+            let fault = |what| CatalogError::Model(k, what);
+            let number = numbers.assign(&spec.name);
             let number =
                 number.ok_or_else(|| fault("too many names over reloads: start anew".into()))?;
             catalog
@@ -147,24 +150,26 @@
         }
         let mut priced = vec![false; specs.len()];
         for (k, Named { name, value }) in prices.iter().enumerate() {
-            let fault = |what: String| Err(CatalogFault::Price(k, what));
+            let fault = |what: String| Err(CatalogError::Price(k, what));
             let Some(&at) = catalog.names.get(name) else {
                 return fault(format!("no model {name:?}"));
             };
             if std::mem::replace(&mut priced[at], true) {
                 return fault(format!("model {name:?} has two prices"));
             }
-            if value.prompt.max(value.answer) > MOST_PRICE {
-                return fault(format!("{name}: a token costs {MOST_PRICE} at the most"));
+            if value.per_prompt_token.max(value.per_output_token) > MAX_TOKEN_PRICE {
+                return fault(format!(
+                    "{name}: a token costs {MAX_TOKEN_PRICE} at the most"
+                ));
             }
             catalog.models[at].price = *value;
         }
         let models = catalog.names.clone();
         for (k, Named { name, value }) in aliases.iter().enumerate() {
-            let fault = |what: String| Err(CatalogFault::Alias(k, what));
-            if k >= MOST_ALIASES || !plain(name) {
+            let fault = |what: String| Err(CatalogError::Alias(k, what));
+            if k >= MAX_ALIASES || !plain(name) {
                 return fault(format!(
-                    "{name:?}: no plain name, or over {MOST_ALIASES} aliases"
+                    "{name:?}: no plain name, or over {MAX_ALIASES} aliases"
                 ));
             }
             // an alias of an alias is none: guards against cycles by having nothing to follow
@@ -196,7 +201,7 @@
                 None => return Err(format!("{name}: its base {base:?} is no model")),
             },
         };
-        if base.is_none() && spec.load.0 > 0 {
+        if base.is_none() && spec.load_time.0 > 0 {
             return Err(format!(
                 "{name}: only an adapter has a load time, and it names no base"
             ));
@@ -212,8 +217,10 @@
                     "{name}: its chain of fallbacks comes back to {next:?}"
                 ));
             }
-            if chain.len() >= MOST_CHAIN {
-                return Err(format!("{name}: its chain has over {MOST_CHAIN} models"));
+            if chain.len() >= MAX_FALLBACK_CHAIN {
+                return Err(format!(
+                    "{name}: its chain has over {MAX_FALLBACK_CHAIN} models"
+                ));
             }
             chain.push(at);
             last = &specs[at];
@@ -222,12 +229,12 @@
             name: name.clone(),
             number,
             base,
-            load: spec.load,
-            window: spec.window,
-            max_answer: spec.max_answer,
+            load_time: spec.load_time,
+            context_window: spec.context_window,
+            max_output_tokens: spec.max_output_tokens,
             class: spec.class.clone(),
             price: Price::default(),
-            chain,
+            fallback_chain: chain,
         })
     }
 
--- a/src/routing/needs.rs
+++ b/src/routing/first_token_estimates.rs
@@ -27,22 +27,22 @@
 
 /// The needs of all models, by their numbers.
 #[derive(Clone, Debug, Default)]
-pub struct Needs {
+pub struct FirstTokenEstimates {
     all: FxHashMap<u32, Need>,
     first: Dur,
 }
 
-impl Needs {
+impl FirstTokenEstimates {
     /// Nothing measured yet: until then `first` stands in, the classes' shortest first-token aim.
-    pub fn new(first: Dur) -> Needs {
-        Needs {
+    pub fn new(first: Dur) -> FirstTokenEstimates {
+        FirstTokenEstimates {
             all: FxHashMap::default(),
             first,
         }
     }
 
     /// A first token came `took` after its leg's start.
-    pub fn learn(&mut self, model: u32, prompt: u32, took: Dur, now: Time) {
+    pub fn record(&mut self, model: u32, prompt: u32, took: Dur, now: Time) {
         // bounded by the models' numbers
         let need = self.all.entry(model).or_default();
         let (x, y) = (f64::from(prompt), took.secs());
@@ -67,14 +67,14 @@
 
     /// A leg ended without a first token after so long, though servers had it: the need is at least
     /// that.
-    pub fn missed(&mut self, model: u32, prompt: u32, waited: Dur, now: Time) {
-        if self.of(model, prompt, now) < waited {
-            self.learn(model, prompt, waited, now);
+    pub fn record_unanswered(&mut self, model: u32, prompt: u32, waited: Dur, now: Time) {
+        if self.estimate(model, prompt, now) < waited {
+            self.record(model, prompt, waited, now);
         }
     }
 
     /// The time that a model needs for its first token.
-    pub fn of(&self, model: u32, prompt: u32, now: Time) -> Dur {
+    pub fn estimate(&self, model: u32, prompt: u32, now: Time) -> Dur {
         let Some(need) = self.all.get(&model).filter(|n| n.seen) else {
             return self.first;
         };
@@ -90,11 +90,11 @@
 
     #[test]
     fn a_need_follows_what_was_measured_and_fades() {
-        let mut needs = Needs::new(Dur(400_000));
-        assert_eq!(needs.of(0, 100, Time(0)), Dur(400_000));
+        let mut estimates = FirstTokenEstimates::new(Dur(400_000));
+        assert_eq!(estimates.estimate(0, 100, Time(0)), Dur(400_000));
         for k in 0..200 {
             let prompt = 100 + 10 * (k % 50);
-            needs.learn(
+            estimates.record(
                 0,
                 prompt,
                 Dur(50_000 + 100 * u64::from(prompt)),
@@ -102,26 +102,29 @@
             );
         }
         let at = Time(200_000);
-        let (short, long) = (needs.of(0, 100, at).secs(), needs.of(0, 600, at).secs());
+        let (short, long) = (
+            estimates.estimate(0, 100, at).secs(),
+            estimates.estimate(0, 600, at).secs(),
+        );
         assert!(
             (0.055..0.09).contains(&short) && (0.105..0.14).contains(&long),
             "{short} {long}"
         );
         // the other model is none of its business, and an old measure fades
-        assert_eq!(needs.of(1, 100, at), Dur(400_000));
-        assert!(needs.of(0, 600, Time(60_000_000)).secs() < long / 10.0);
+        assert_eq!(estimates.estimate(1, 100, at), Dur(400_000));
+        assert!(estimates.estimate(0, 600, Time(60_000_000)).secs() < long / 10.0);
     }
 
     #[test]
     fn what_never_comes_raises_the_need() {
-        let mut needs = Needs::new(Dur(100_000));
+        let mut estimates = FirstTokenEstimates::new(Dur(100_000));
         for k in 0..40 {
-            needs.missed(0, 100, Dur(900_000), Time(k * 1000));
+            estimates.record_unanswered(0, 100, Dur(900_000), Time(k * 1000));
         }
-        assert!(needs.of(0, 100, Time(40_000)) >= Dur(800_000));
+        assert!(estimates.estimate(0, 100, Time(40_000)) >= Dur(800_000));
         // a wait shorter than the need tells nothing
-        let before = needs.of(0, 100, Time(40_000));
-        needs.missed(0, 100, Dur(10_000), Time(40_000));
-        assert_eq!(needs.of(0, 100, Time(40_000)), before);
+        let before = estimates.estimate(0, 100, Time(40_000));
+        estimates.record_unanswered(0, 100, Dur(10_000), Time(40_000));
+        assert_eq!(estimates.estimate(0, 100, Time(40_000)), before);
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,8 +1,8 @@
 //! Routing: which model an RPC goes to, and which is next.
 //!
 //! A [`Catalog`] names the models, their adapters, aliases and fallback chains, and is checked
-//! whole. [`Holdings`] knows which host has what, from the list and from the hosts themselves.
-//! [`Needs`] measures how long each model takes to its first token. A [`Route`] takes one RPC along
+//! whole. [`ModelInventory`] knows which host has what, from the list and from the hosts themselves.
+//! [`FirstTokenEstimates`] measures how long each model takes to its first token. A [`Route`] takes one RPC along
 //! its model's chain: one leg at a time, each a submission to the decision module.
 //!
 //! **What it promises.** Over all legs of an RPC no more call attempts than allowed, no leg beside
@@ -15,20 +15,22 @@
 //! serve: those stay with [`Balancer`](crate::Balancer).
 
 mod catalog;
-mod holdings;
-mod needs;
+mod first_token_estimates;
+mod model_inventory;
 mod route;
 
-pub use catalog::{Catalog, CatalogFault, Model, ModelSpec, Named, Numbers};
-pub use holdings::{Disagreement, Holdings};
-pub use needs::Needs;
-pub use route::{Ask, Ended, GaveUp, Leg, NotAsked, Route, Step};
+pub use catalog::{Catalog, CatalogError, Model, ModelNumbers, ModelSpec, Named};
+pub use first_token_estimates::FirstTokenEstimates;
+pub use model_inventory::{InventoryMismatch, ModelInventory};
+pub use route::{
+    ChatQuery, Route, RouteError, RouteExhausted, RouteStep, Submission, SubmissionEnd,
+};
 
 /// Models at the most, adapters too.
-pub const MOST_MODELS: usize = 1024;
+pub const MAX_MODELS: usize = 1024;
 /// Aliases at the most.
-pub const MOST_ALIASES: usize = 1024;
+pub const MAX_ALIASES: usize = 1024;
 /// Names that models had over all reloads, at the most.
-pub const MOST_NUMBERS: u32 = 16_384;
+pub const MAX_MODEL_NUMBERS: u32 = 16_384;
 /// Models of a chain at the most, the preferred one too.
-pub const MOST_CHAIN: usize = 8;
+pub const MAX_FALLBACK_CHAIN: usize = 8;
--- a/src/routing/holdings.rs
+++ b/src/routing/model_inventory.rs
@@ -8,36 +8,36 @@
 use crate::interface::{Dur, Models, ReplicaId, State, Time};
 
 /// Models that a host's word may hold; the rest of a longer one is not read.
-const MOST_TOLD: usize = 4096;
+const MAX_REPORTED_MODELS: usize = 4096;
 
 /// The list and a host differ in what it has.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Disagreement {
+pub struct InventoryMismatch {
     /// Models of the list that the host does not tell of.
     pub missing: Vec<String>,
     /// Models that it tells of and the list does not name.
     pub unlisted: Vec<String>,
 }
 
-struct Held {
+struct HostModels {
     state: State,
     started: Time,
     listed: Option<Vec<String>>,
-    told: Option<Vec<String>>,
+    reported: Option<Vec<String>>,
 }
 
 /// What all hosts have.
 #[derive(Default)]
-pub struct Holdings {
-    hosts: FxHashMap<ReplicaId, Held>,
+pub struct ModelInventory {
+    hosts: FxHashMap<ReplicaId, HostModels>,
     /// Hosts in service that have each model, loaded or not, by its number.
     counts: FxHashMap<u32, u32>,
 }
 
-impl Holdings {
+impl ModelInventory {
     /// A host as the list has it now. What a host told before it started anew is forgotten: it may
     /// have lost what it had loaded.
-    pub fn list(
+    pub fn set_listed(
         &mut self,
         replica: ReplicaId,
         state: State,
@@ -49,18 +49,18 @@
             return;
         }
         let listed = models.map(<[String]>::to_vec);
-        let told = self
+        let reported = self
             .hosts
             .remove(&replica)
             .filter(|h| h.started == started)
-            .and_then(|h| h.told);
+            .and_then(|h| h.reported);
         self.hosts.insert(
             replica,
-            Held {
+            HostModels {
                 state,
                 started,
                 listed,
-                told,
+                reported,
             },
         );
     }
@@ -72,12 +72,12 @@
 
     /// What a host tells of itself, as of its start at `started`. Whether that is news, and how it
     /// differs from the list, where that is news.
-    pub fn tell(
+    pub fn record_report(
         &mut self,
         replica: ReplicaId,
         started: Time,
         mut names: Vec<String>,
-    ) -> (bool, Option<Disagreement>) {
+    ) -> (bool, Option<InventoryMismatch>) {
         let Some(host) = self
             .hosts
             .get_mut(&replica)
@@ -85,10 +85,10 @@
         else {
             return (false, None);
         };
-        names.truncate(MOST_TOLD);
+        names.truncate(MAX_REPORTED_MODELS);
         names.sort_unstable();
         names.dedup();
-        if host.told.as_ref() == Some(&names) {
+        if host.reported.as_ref() == Some(&names) {
             return (false, None);
         }
         let differ = host.listed.as_ref().and_then(|listed| {
@@ -97,24 +97,24 @@
             };
             let (missing, unlisted) = (without(listed, &names), without(&names, listed));
             (!missing.is_empty() || !unlisted.is_empty())
-                .then_some(Disagreement { missing, unlisted })
+                .then_some(InventoryMismatch { missing, unlisted })
         });
-        host.told = Some(names);
+        host.reported = Some(names);
         (true, differ)
     }
 
     /// What a host serves of these catalogs (the one in force, and those that something under way
     /// still goes by), for the decision module. A host of which nothing is known is taken to have
     /// every base model.
-    pub fn models(&self, replica: ReplicaId, catalogs: &[Arc<Catalog>]) -> Models {
+    pub fn servable_models(&self, replica: ReplicaId, catalogs: &[Arc<Catalog>]) -> Models {
         let Some(host) = self.hosts.get(&replica) else {
             return Models::only([]);
         };
         Models::only(catalogs.iter().flat_map(|c| host.has(c)))
     }
 
-    /// Counts anew who has what. To be called after news, ahead of [`Holdings::hosts`].
-    pub fn count(&mut self, catalogs: &[Arc<Catalog>]) {
+    /// Counts anew who has what. To be called after news, ahead of [`ModelInventory::host_count`].
+    pub fn recount_hosts(&mut self, catalogs: &[Arc<Catalog>]) {
         self.counts.clear();
         for host in self.hosts.values().filter(|h| h.state == State::InService) {
             let mut numbers: Vec<u32> = catalogs
@@ -131,15 +131,15 @@
     }
 
     /// Hosts in service that have the model of a number.
-    pub fn hosts(&self, number: u32) -> u32 {
+    pub fn host_count(&self, number: u32) -> u32 {
         self.counts.get(&number).copied().unwrap_or(0)
     }
 }
 
-impl Held {
+impl HostModels {
     /// The numbers of the models that it has, each with its time to load.
     fn has<'a>(&'a self, catalog: &'a Catalog) -> impl Iterator<Item = (u32, Dur)> + 'a {
-        let names = self.told.as_ref().or(self.listed.as_ref());
+        let names = self.reported.as_ref().or(self.listed.as_ref());
         let named = move |at: usize| names.is_none_or(|n| n.contains(&catalog.model(at).name));
         catalog
             .models()
@@ -148,7 +148,7 @@
             .filter_map(move |(at, model)| match model.base {
                 // where nothing is known adapters are taken to be unloaded
                 Some(base) if names.is_none() || !named(at) => {
-                    named(base).then_some((model.number, model.load))
+                    named(base).then_some((model.number, model.load_time))
                 }
                 _ => named(at).then_some((model.number, Dur(0))),
             })
@@ -157,16 +157,16 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::{ModelSpec, Named, Numbers};
+    use super::super::{ModelNumbers, ModelSpec, Named};
     use super::*;
 
     fn catalog() -> [Arc<Catalog>; 1] {
         let spec = |name: &str, base: Option<&str>| ModelSpec {
             name: name.into(),
             base: base.map(String::from),
-            load: Dur(if base.is_some() { 800_000 } else { 0 }),
-            window: 100,
-            max_answer: 10,
+            load_time: Dur(if base.is_some() { 800_000 } else { 0 }),
+            context_window: 100,
+            max_output_tokens: 10,
             ..ModelSpec::default()
         };
         let specs = [
@@ -179,7 +179,7 @@
             value: "large".into(),
         };
         [Arc::new(
-            Catalog::build(&specs, &[alias], &[], &mut Numbers::default()).unwrap(),
+            Catalog::build(&specs, &[alias], &[], &mut ModelNumbers::default()).unwrap(),
         )]
     }
 
@@ -190,56 +190,62 @@
     #[test]
     fn the_host_is_believed_and_a_difference_reported() {
         let (catalog, id) = (catalog(), ReplicaId(7));
-        let mut all = Holdings::default();
-        all.list(
+        let mut inventory = ModelInventory::default();
+        inventory.set_listed(
             id,
             State::InService,
             Time(5),
             Some(&names(&["small", "large"])),
         );
-        let models = all.models(id, &catalog);
+        let models = inventory.servable_models(id, &catalog);
         assert_eq!(
             [1, 2, 3].map(|m| models.ready_in(m)),
             [Some(Dur(0)), Some(Dur(0)), Some(Dur(800_000))]
         );
-        let (news, differ) = all.tell(id, Time(5), names(&["small", "maths"]));
+        let (news, differ) = inventory.record_report(id, Time(5), names(&["small", "maths"]));
         let differ = differ.unwrap();
         assert!(news && differ.missing == ["large"] && differ.unlisted == ["maths"]);
-        let models = all.models(id, &catalog);
+        let models = inventory.servable_models(id, &catalog);
         assert_eq!(
             [1, 2, 3].map(|m| models.ready_in(m)),
             [Some(Dur(0)), None, Some(Dur(0))]
         );
         assert_eq!(
-            all.tell(id, Time(5), names(&["maths", "small"])),
+            inventory.record_report(id, Time(5), names(&["maths", "small"])),
             (false, None)
         );
         // a new start: what was told is forgotten, and a late word of the old one is not heard
-        all.list(id, State::InService, Time(9), Some(&names(&["small"])));
-        assert_eq!(all.tell(id, Time(5), names(&["large"])), (false, None));
-        assert_eq!(all.models(id, &catalog).ready_in(3), Some(Dur(800_000)));
+        inventory.set_listed(id, State::InService, Time(9), Some(&names(&["small"])));
+        assert_eq!(
+            inventory.record_report(id, Time(5), names(&["large"])),
+            (false, None)
+        );
+        assert_eq!(
+            inventory.servable_models(id, &catalog).ready_in(3),
+            Some(Dur(800_000))
+        );
     }
 
     #[test]
     fn only_hosts_in_service_count() {
-        let (catalog, mut all) = (catalog(), Holdings::default());
-        all.list(
+        let (catalog, mut inventory) = (catalog(), ModelInventory::default());
+        inventory.set_listed(
             ReplicaId(1),
             State::InService,
             Time(0),
             Some(&names(&["small"])),
         );
-        all.list(
+        inventory.set_listed(
             ReplicaId(2),
             State::Terminating,
             Time(0),
             Some(&names(&["large"])),
         );
-        all.list(ReplicaId(3), State::InService, Time(0), None);
-        all.count(&catalog);
-        assert_eq!([1, 2, 3].map(|m| all.hosts(m)), [2, 1, 2]);
-        all.list(ReplicaId(3), State::Terminated, Time(0), None);
-        all.count(&catalog);
-        assert_eq!([1, 2, 3].map(|m| all.hosts(m)), [1, 0, 1]);
+        inventory.set_listed(ReplicaId(3), State::InService, Time(0), None);
+        inventory.recount_hosts(&catalog);
+        assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [2, 1, 2]);
+        inventory.set_listed(ReplicaId(3), State::Terminated, Time(0), None);
+        inventory.recount_hosts(&catalog);
+        assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [1, 0, 1]);
     }
 }
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -2,82 +2,85 @@
 
 use std::sync::Arc;
 
-use super::{Catalog, Holdings, Needs};
+use super::{Catalog, FirstTokenEstimates, ModelInventory};
 use crate::interface::{Dur, Time};
 
 /// What is asked for.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ChatQuery {
     /// The model, by its place in the catalog.
     pub model: usize,
     /// Prompt tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The most tokens of an answer, where the client tells.
-    pub cap: Option<u32>,
+    pub max_output_tokens: Option<u32>,
     /// When its client stops waiting for a first token.
-    pub expires: Time,
+    pub expires_at: Time,
     /// Call attempts that it may have over all models.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// A repeat is harmless even where an attempt may have run.
-    pub safe: bool,
+    pub idempotent: bool,
 }
 
 /// Why an RPC has no route at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotAsked {
+pub enum RouteError {
     /// The asker may not use the model.
-    Forbidden,
-    /// The model's window doesn't hold the prompt; the window.
-    TooLong(u32),
+    ModelForbidden,
+    /// The model's window doesn't hold the prompt.
+    PromptTooLong {
+        /// Tokens that the window holds.
+        context_window: u32,
+    },
 }
 
 /// A submission to the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Leg {
+pub struct Submission {
     /// The model, by its place in the catalog.
     pub model: usize,
     /// The most tokens of its answer.
-    pub cap: u32,
+    pub max_output_tokens: u32,
     /// Call attempts that it can't have: earlier legs had them, or they are kept back for a later
     /// one.
-    pub spent: u32,
+    pub unavailable_attempts: u32,
     /// When it ends unless a first token has come.
-    pub until: Time,
+    pub deadline: Time,
 }
 
 /// How a leg ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct SubmissionEnd {
     /// Call attempts that it had.
     pub attempts: u32,
     /// Some attempt reached a server, and may have run.
-    pub sent: bool,
+    pub forwarded: bool,
     /// It was declined, and told to come back then.
-    pub retry_in: Option<Dur>,
+    pub retry_after: Option<Dur>,
     /// It was declined rather than failed.
-    pub refused: bool,
+    pub rejected: bool,
 }
 
 /// Why there is no further leg.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GaveUp {
+pub struct RouteExhausted {
     /// A repeat is harmless.
-    pub refused: bool,
+    pub rejected: bool,
     /// Call attempts over all legs.
     pub attempts: u32,
     /// When to come back, where some leg told: the soonest, as any model of the chain will do.
-    pub retry_in: Option<Dur>,
+    pub retry_after: Option<Dur>,
     /// No model of the chain had a host.
     pub no_host: bool,
 }
 
 /// What comes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum RouteStep {
     /// This leg.
-    Try(Leg),
+    Submit(Submission),
     /// Nothing.
-    End(GaveUp),
+    Exhausted(RouteExhausted),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -92,13 +95,13 @@
 #[derive(Clone, Debug)]
 pub struct Route {
     catalog: Arc<Catalog>,
-    ask: Ask,
+    query: ChatQuery,
     /// The models that may be tried, in order.
     chain: Vec<(usize, u32, Tried)>,
     attempts: u32,
     may_have_run: bool,
     failed: bool,
-    retry_in: Option<Dur>,
+    retry_after: Option<Dur>,
     out: Option<(usize, Time)>,
 }
 
@@ -107,33 +110,39 @@
     /// prompt.
     pub fn new(
         catalog: Arc<Catalog>,
-        ask: Ask,
+        query: ChatQuery,
         allowed: impl Fn(usize) -> bool,
-    ) -> Result<Route, NotAsked> {
-        let preferred = catalog.model(ask.model);
-        if !allowed(ask.model) {
-            return Err(NotAsked::Forbidden);
+    ) -> Result<Route, RouteError> {
+        let preferred = catalog.model(query.model);
+        if !allowed(query.model) {
+            return Err(RouteError::ModelForbidden);
         }
-        if preferred.room(ask.prompt).is_none() {
-            return Err(NotAsked::TooLong(preferred.window));
+        if preferred.max_output_for(query.prompt_tokens).is_none() {
+            return Err(RouteError::PromptTooLong {
+                context_window: preferred.context_window,
+            });
         }
         let chain = preferred
-            .chain
+            .fallback_chain
             .iter()
             .filter(|&&at| allowed(at))
             .filter_map(|&at| {
-                let room = catalog.model(at).room(ask.prompt)?;
-                Some((at, room.min(ask.cap.unwrap_or(u32::MAX)), Tried::No))
+                let room = catalog.model(at).max_output_for(query.prompt_tokens)?;
+                Some((
+                    at,
+                    room.min(query.max_output_tokens.unwrap_or(u32::MAX)),
+                    Tried::No,
+                ))
             });
         let chain = chain.collect();
         Ok(Route {
             catalog,
-            ask,
+            query,
             chain,
             attempts: 0,
             may_have_run: false,
             failed: false,
-            retry_in: None,
+            retry_after: None,
             out: None,
         })
     }
@@ -143,22 +152,28 @@
         &self.catalog
     }
 
-    /// The first leg, or the next once [`Route::ended`] was told of the one before.
-    pub fn next(&mut self, hosts: &Holdings, needs: &Needs, now: Time) -> Step {
+    /// The first leg, or the next once [`Route::submission_ended`] was told of the one before.
+    pub fn next_step(
+        &mut self,
+        inventory: &ModelInventory,
+        estimates: &FirstTokenEstimates,
+        now: Time,
+    ) -> RouteStep {
         assert!(self.out.is_none(), "a leg is out: two would run at once");
-        let spent_up = self.attempts >= self.ask.attempts;
-        let unsafe_again = self.may_have_run && !self.ask.safe;
-        if spent_up || unsafe_again || now >= self.ask.expires {
+        let spent_up = self.attempts >= self.query.max_attempts;
+        let unsafe_again = self.may_have_run && !self.query.idempotent;
+        if spent_up || unsafe_again || now >= self.query.expires_at {
             return self.give_up(false);
         }
-        let left = self.ask.expires - now;
+        let left = self.query.expires_at - now;
         let number = |at: usize| self.catalog.model(at).number;
-        let has_host = |at: usize| hosts.hosts(number(at)) > 0;
+        let has_host = |at: usize| inventory.host_count(number(at)) > 0;
         // a model passed over comes into question again: its hosts may be back
         let open: Vec<usize> = (0..self.chain.len())
             .filter(|&k| self.chain[k].2 != Tried::Yes && has_host(self.chain[k].0))
             .collect();
-        let need = |k: usize| needs.of(number(self.chain[k].0), self.ask.prompt, now);
+        let need =
+            |k: usize| estimates.estimate(number(self.chain[k].0), self.query.prompt_tokens, now);
         let Some(&first) = open.first() else {
             return self.give_up(self.chain.iter().all(|c| c.2 != Tried::Yes));
         };
@@ -177,7 +192,7 @@
         // an attempt is kept back for it too: guards against servers that fail fast and use all of
         // them up
         let others = open.iter().any(|&k| k > at);
-        let last = u32::from(others && self.ask.attempts - self.attempts > 1);
+        let last = u32::from(others && self.query.max_attempts - self.attempts > 1);
         for k in 0..at {
             if self.chain[k].2 == Tried::No {
                 self.chain[k].2 = Tried::Passed;
@@ -186,44 +201,49 @@
         let (model, cap, tried) = &mut self.chain[at];
         *tried = Tried::Yes;
         self.out = Some((*model, now));
-        let until = Time(self.ask.expires.0 - kept.0);
-        Step::Try(Leg {
+        let deadline = Time(self.query.expires_at.0 - kept.0);
+        RouteStep::Submit(Submission {
             model: *model,
-            cap: *cap,
-            spent: self.attempts + last,
-            until,
+            max_output_tokens: *cap,
+            unavailable_attempts: self.attempts + last,
+            deadline,
         })
     }
 
     /// The leg that was out has ended without an answer. What that tells of the model's need is
     /// learnt.
-    pub fn ended(&mut self, how: Ended, needs: &mut Needs, now: Time) {
+    pub fn submission_ended(
+        &mut self,
+        end: SubmissionEnd,
+        estimates: &mut FirstTokenEstimates,
+        now: Time,
+    ) {
         let Some((model, since)) = self.out.take() else {
             return;
         };
-        if how.sent {
-            needs.missed(
+        if end.forwarded {
+            estimates.record_unanswered(
                 self.catalog.model(model).number,
-                self.ask.prompt,
+                self.query.prompt_tokens,
                 now - since,
                 now,
             );
         }
-        self.attempts = self.attempts.saturating_add(how.attempts);
-        self.may_have_run |= how.sent;
-        self.failed |= !how.refused;
-        self.retry_in = match (self.retry_in, how.retry_in) {
+        self.attempts = self.attempts.saturating_add(end.attempts);
+        self.may_have_run |= end.forwarded;
+        self.failed |= !end.rejected;
+        self.retry_after = match (self.retry_after, end.retry_after) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
     }
 
     /// The leg that was out has begun to answer: the route is over, and its time is learnt.
-    pub fn answered(&mut self, needs: &mut Needs, now: Time) {
+    pub fn answer_started(&mut self, estimates: &mut FirstTokenEstimates, now: Time) {
         if let Some((model, since)) = self.out.take() {
-            needs.learn(
+            estimates.record(
                 self.catalog.model(model).number,
-                self.ask.prompt,
+                self.query.prompt_tokens,
                 now - since,
                 now,
             );
@@ -234,15 +254,15 @@
 
     /// Passes a model over whose leg was not submitted after all (its price goes beyond a budget,
     /// say).
-    pub fn passed(&mut self) {
+    pub fn skip_submission(&mut self) {
         self.out = None;
     }
 
-    fn give_up(&self, no_host: bool) -> Step {
-        Step::End(GaveUp {
-            refused: !self.failed,
+    fn give_up(&self, no_host: bool) -> RouteStep {
+        RouteStep::Exhausted(RouteExhausted {
+            rejected: !self.failed,
             attempts: self.attempts,
-            retry_in: self.retry_in,
+            retry_after: self.retry_after,
             no_host,
         })
     }
--- a/src/spend/moment.rs
+++ b/src/spend/clock_reading.rs
@@ -5,7 +5,7 @@
 /// Both clocks as they read at one moment. Calendar periods go by the wall clock, which may be
 /// stepped; refills are spans of real time and go by the monotonic one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moment {
+pub struct ClockReading {
     /// A clock that is never stepped.
     pub monotonic: Time,
     /// Unix time, as the machine's clock has it.
@@ -13,9 +13,9 @@
 }
 
 /// A moment at which no clock has been stepped.
-impl From<Time> for Moment {
-    fn from(time: Time) -> Moment {
-        Moment {
+impl From<Time> for ClockReading {
+    fn from(time: Time) -> ClockReading {
+        ClockReading {
             monotonic: time,
             wall: time,
         }
--- a/src/spend/gauge.rs
+++ b/src/spend/gauge.rs
@@ -1,6 +1,6 @@
 //! One budget of one node: how much of it is spent, and when there is more.
 
-use super::{Limit, Micro, Moment, Period};
+use super::{BudgetLimit, ClockReading, MicroTokens, Period};
 use crate::interface::{Dur, Time};
 
 /// A reservation ends within about so long: what it keeps from others is worth asking for again
@@ -11,16 +11,16 @@
 #[derive(Clone, Debug)]
 pub(super) enum Gauge {
     Each {
-        limit: Micro,
+        limit: MicroTokens,
         period: Period,
-        spent: Micro,
+        spent: MicroTokens,
         start: Time,
         end: Time,
     },
     Drip {
-        limit: Micro,
-        full_in: Dur,
-        /// In parts of a micro-token, `full_in` of them to one: no refill is rounded.
+        limit: MicroTokens,
+        refill_time: Dur,
+        /// In parts of a micro-token, `refill_time` of them to one: no refill is rounded.
         spent: u128,
         /// Until when the refill is reckoned in.
         at: Time,
@@ -29,13 +29,13 @@
 
 /// What a gauge shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reading {
+pub struct BudgetStatus {
     /// The limit.
-    pub limit: Micro,
+    pub limit: MicroTokens,
     /// What is spent of it now.
-    pub spent: Micro,
+    pub spent: MicroTokens,
     /// When it refills, or is full again, by the wall clock.
-    pub refills: Time,
+    pub refills_at: Time,
     /// How long it takes from empty to full, or the whole period.
     pub window: Dur,
 }
@@ -51,10 +51,10 @@
 
 impl Gauge {
     /// A gauge of which nothing is spent. `part`: routers that share the limit evenly.
-    pub fn new(limit: &Limit, part: u32, now: Moment) -> Gauge {
+    pub fn new(limit: &BudgetLimit, part: u32, now: ClockReading) -> Gauge {
         let part = u64::from(part.max(1));
         match limit {
-            Limit::Each { amount, period } => {
+            BudgetLimit::PerPeriod { amount, period } => {
                 let (start, end) = period.around(now.wall);
                 Gauge::Each {
                     limit: amount / part,
@@ -64,9 +64,12 @@
                     end,
                 }
             }
-            Limit::Drip { amount, full_in } => Gauge::Drip {
+            BudgetLimit::TokenBucket {
+                amount,
+                refill_time,
+            } => Gauge::Drip {
                 limit: amount / part,
-                full_in: *full_in,
+                refill_time: *refill_time,
                 spent: 0,
                 at: now.monotonic,
             },
@@ -75,7 +78,7 @@
 
     /// Lets time pass. A period that has begun stays until the wall clock has passed its end, also
     /// where that was stepped back meanwhile: no period is given twice.
-    pub fn advance(&mut self, now: Moment) {
+    pub fn advance(&mut self, now: ClockReading) {
         match self {
             Gauge::Each {
                 period,
@@ -100,27 +103,32 @@
     }
 
     /// The limit, and what is spent, rounded up.
-    fn parts(&self) -> (Micro, Micro) {
+    fn parts(&self) -> (MicroTokens, MicroTokens) {
         match self {
             Gauge::Each { limit, spent, .. } => (*limit, *spent),
             Gauge::Drip {
                 limit,
                 spent,
-                full_in,
+                refill_time,
                 ..
             } => (
                 *limit,
                 spent
-                    .div_ceil(u128::from(full_in.0))
-                    .min(u128::from(Micro::MAX)) as Micro,
+                    .div_ceil(u128::from(refill_time.0))
+                    .min(u128::from(MicroTokens::MAX)) as MicroTokens,
             ),
         }
     }
 
     /// Whether there is room for `more` beside what is spent and `reserved`; time was let pass.
-    pub fn room(&self, reserved: Micro, more: Micro, now: Moment) -> Result<(), Short> {
+    pub fn room(
+        &self,
+        reserved: MicroTokens,
+        more: MicroTokens,
+        now: ClockReading,
+    ) -> Result<(), Short> {
         let (limit, spent) = self.parts();
-        let beyond = |taken: Micro| taken.saturating_add(more).saturating_sub(limit);
+        let beyond = |taken: MicroTokens| taken.saturating_add(more).saturating_sub(limit);
         if beyond(spent.saturating_add(reserved)) == 0 {
             return Ok(());
         }
@@ -132,8 +140,10 @@
         Err(Short::Until(match self {
             _ if short == 0 => SOON,
             Gauge::Each { end, .. } => *end - now.wall,
-            Gauge::Drip { full_in, spent, .. } => {
-                let room = u128::from(limit - more) * u128::from(full_in.0);
+            Gauge::Drip {
+                refill_time, spent, ..
+            } => {
+                let room = u128::from(limit - more) * u128::from(refill_time.0);
                 let wait = spent
                     .saturating_sub(room)
                     .div_ceil(u128::from(limit.max(1)));
@@ -145,7 +155,12 @@
     /// Charges what an RPC used: its part within the reservation, and what is beyond it unless the
     /// budget is over its limit already, with `reserved` the others' reservations. Returns what was
     /// left uncharged.
-    pub fn charge(&mut self, within: Micro, beyond: Micro, reserved: Micro) -> Micro {
+    pub fn charge(
+        &mut self,
+        within: MicroTokens,
+        beyond: MicroTokens,
+        reserved: MicroTokens,
+    ) -> MicroTokens {
         let (limit, spent) = self.parts();
         let over = spent.saturating_add(reserved).saturating_add(within) > limit;
         let charged = if over {
@@ -155,8 +170,10 @@
         };
         match self {
             Gauge::Each { spent, .. } => *spent = spent.saturating_add(charged),
-            Gauge::Drip { spent, full_in, .. } => {
-                *spent += u128::from(charged) * u128::from(full_in.0);
+            Gauge::Drip {
+                spent, refill_time, ..
+            } => {
+                *spent += u128::from(charged) * u128::from(refill_time.0);
             }
         }
         within.saturating_add(beyond) - charged
@@ -191,20 +208,23 @@
             }
             (
                 Gauge::Drip {
-                    spent, at, full_in, ..
+                    spent,
+                    at,
+                    refill_time,
+                    ..
                 },
                 Gauge::Drip {
                     spent: old,
                     at: then,
-                    full_in: was,
+                    refill_time: was,
                     ..
                 },
             ) => {
                 (*spent, *at) = (
-                    old.div_ceil(u128::from(was.0)) * u128::from(full_in.0),
+                    old.div_ceil(u128::from(was.0)) * u128::from(refill_time.0),
                     *then,
                 );
-                if was == full_in {
+                if was == refill_time {
                     *spent = *old;
                 }
             }
@@ -214,20 +234,23 @@
 
     /// Brings back a state that was kept; a period that has ended since is begun anew by the next
     /// advance.
-    pub fn restore(&mut self, kept: Micro, since: Time) {
+    pub fn restore(&mut self, kept: MicroTokens, since: Time) {
         match self {
             Gauge::Each { start, spent, .. } if since >= *start => *spent = kept,
             Gauge::Each { .. } => {}
             Gauge::Drip {
-                spent, at, full_in, ..
+                spent,
+                at,
+                refill_time,
+                ..
             } => {
-                (*spent, *at) = (u128::from(kept) * u128::from(full_in.0), since);
+                (*spent, *at) = (u128::from(kept) * u128::from(refill_time.0), since);
             }
         }
     }
 
     /// What it shows; time was let pass.
-    pub fn reading(&self, now: Moment) -> Reading {
+    pub fn status(&self, now: ClockReading) -> BudgetStatus {
         match *self {
             Gauge::Each {
                 limit,
@@ -235,26 +258,26 @@
                 start,
                 end,
                 ..
-            } => Reading {
+            } => BudgetStatus {
                 limit,
                 spent,
-                refills: end,
+                refills_at: end,
                 window: end - start,
             },
             Gauge::Drip {
                 limit,
-                full_in,
+                refill_time,
                 spent,
                 at,
             } => {
                 let wait = spent.div_ceil(u128::from(limit.max(1)));
                 let full_at = at + Dur(wait.min(u128::from(Dur::MAX.0)) as u64);
-                let refills = now.wall + (full_at - now.monotonic);
-                Reading {
+                let refills_at = now.wall + (full_at - now.monotonic);
+                BudgetStatus {
                     limit,
                     spent: self.parts().1,
-                    refills,
-                    window: full_in,
+                    refills_at,
+                    window: refill_time,
                 }
             }
         }
--- a/src/spend/gauge/tests.rs
+++ b/src/spend/gauge/tests.rs
@@ -2,14 +2,14 @@
 use proptest::prelude::*;
 
 use super::*;
-use crate::spend::Length;
+use crate::spend::PeriodLength;
 
 const MINUTE: u64 = 60_000_000;
 const HOUR: u64 = 60 * MINUTE;
 const START: u64 = 400_000 * HOUR;
 
-fn at(monotonic: u64, wall: u64) -> Moment {
-    Moment {
+fn at(monotonic: u64, wall: u64) -> ClockReading {
+    ClockReading {
         monotonic: Time(monotonic),
         wall: Time(START + wall),
     }
@@ -17,11 +17,11 @@
 
 fn hourly() -> Gauge {
     let period = Period {
-        length: Length::Hour,
+        length: PeriodLength::Hour,
         zone: TimeZone::UTC,
     };
     Gauge::new(
-        &Limit::Each {
+        &BudgetLimit::PerPeriod {
             amount: 100,
             period,
         },
@@ -31,9 +31,9 @@
 }
 
 /// Uses up what the period has left at this moment; how much that was.
-fn use_up(gauge: &mut Gauge, now: Moment) -> Micro {
+fn use_up(gauge: &mut Gauge, now: ClockReading) -> MicroTokens {
     gauge.advance(now);
-    let reading = gauge.reading(now);
+    let reading = gauge.status(now);
     let left = reading.limit - reading.spent;
     gauge.charge(left, 0, 0);
     left
@@ -59,9 +59,9 @@
 #[test]
 fn drips_refill_in_real_time() {
     let mut gauge = Gauge::new(
-        &Limit::Drip {
+        &BudgetLimit::TokenBucket {
             amount: 100,
-            full_in: Dur(HOUR),
+            refill_time: Dur(HOUR),
         },
         1,
         at(0, 0),
@@ -72,7 +72,7 @@
     assert_eq!(use_up(&mut gauge, at(30 * MINUTE, 0)), 50);
     // full again by the wall clock as it reads now
     assert_eq!(
-        gauge.reading(at(30 * MINUTE, 0)).refills,
+        gauge.status(at(30 * MINUTE, 0)).refills_at,
         Time(START + HOUR)
     );
 }
--- a/src/spend/ledger.rs
+++ b/src/spend/ledger.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use super::gauge::{Gauge, Short};
-use super::{DEPTH, Micro, Moment, Reading, Tree, TreeFault};
+use super::{BudgetStatus, BudgetTree, BudgetTreeError, ClockReading, MAX_DEPTH, MicroTokens};
 use crate::interface::Dur;
 
 pub use snapshot::NodeState;
@@ -16,28 +16,28 @@
 
 /// A reservation that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct HoldId(u64);
+pub struct ReservationId(u64);
 
 struct Node {
     path: String,
     parent: Option<NodeId>,
     /// It is in the tree in force; the others only wait for their reservations' end.
     listed: bool,
-    reserved: Micro,
-    holds: u32,
+    reserved: MicroTokens,
+    reservations: u32,
     /// What was used but not charged: beyond reservations, where the budget was over already.
-    uncharged: Micro,
+    uncharged: MicroTokens,
     budgets: Vec<(String, Gauge)>,
 }
 
-struct Hold {
+struct Reservation {
     node: NodeId,
-    amount: Micro,
+    amount: MicroTokens,
 }
 
 /// Why a reservation is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct BudgetExceeded {
     /// The node that has no room; of several the one that is last to have it again.
     pub node: String,
     /// How far up it stands: 0 for the root.
@@ -45,33 +45,33 @@
     /// Its budget's name.
     pub budget: String,
     /// When to come back; none: the whole limit is smaller than what was asked for.
-    pub retry_in: Option<Dur>,
+    pub retry_after: Option<Dur>,
     /// What the budget shows.
-    pub reading: Reading,
+    pub status: BudgetStatus,
     /// What is reserved at the node.
-    pub reserved: Micro,
+    pub reserved: MicroTokens,
 }
 
 /// What a settled RPC came to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Charge {
     /// What it used.
-    pub used: Micro,
+    pub used: MicroTokens,
     /// The most that some budget did not charge of it.
-    pub uncharged: Micro,
+    pub uncharged: MicroTokens,
 }
 
 /// A node as operators and its own people see it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct NodeUsage {
     /// Its path.
     pub path: String,
     /// What is reserved now.
-    pub reserved: Micro,
+    pub reserved: MicroTokens,
     /// What was used and not charged since the start.
-    pub uncharged: Micro,
+    pub uncharged: MicroTokens,
     /// Its budgets.
-    pub budgets: Vec<(String, Reading)>,
+    pub budgets: Vec<(String, BudgetStatus)>,
 }
 
 /// All budgets of a router.
@@ -79,19 +79,19 @@
     nodes: Vec<Node>,
     free: Vec<u32>,
     index: FxHashMap<String, NodeId>,
-    holds: FxHashMap<HoldId, Hold>,
+    reservations: FxHashMap<ReservationId, Reservation>,
     last: u64,
 }
 
 impl Ledger {
     /// Nothing spent.
-    pub fn new(tree: &Tree, now: impl Into<Moment>) -> Result<Ledger, TreeFault> {
-        let (index, holds) = (FxHashMap::default(), FxHashMap::default());
+    pub fn new(tree: &BudgetTree, now: impl Into<ClockReading>) -> Result<Ledger, BudgetTreeError> {
+        let (index, reservations) = (FxHashMap::default(), FxHashMap::default());
         let mut ledger = Ledger {
             nodes: Vec::new(),
             free: Vec::new(),
             index,
-            holds,
+            reservations,
             last: 0,
         };
         ledger.reload(tree, now)?;
@@ -99,13 +99,13 @@
     }
 
     /// The node of a path.
-    pub fn node(&self, path: &str) -> Option<NodeId> {
+    pub fn find_node(&self, path: &str) -> Option<NodeId> {
         self.index.get(path).copied()
     }
 
     /// A node and those above it, itself first.
     fn path(&self, node: NodeId) -> impl Iterator<Item = usize> + use<> {
-        let mut all = [None; DEPTH];
+        let mut all = [None; MAX_DEPTH];
         let mut next = Some(node);
         for place in &mut all {
             *place = next.map(|n| n.0 as usize);
@@ -118,70 +118,77 @@
     pub fn reserve(
         &mut self,
         node: NodeId,
-        amount: Micro,
-        now: impl Into<Moment>,
-    ) -> Result<HoldId, Refusal> {
+        amount: MicroTokens,
+        now: impl Into<ClockReading>,
+    ) -> Result<ReservationId, BudgetExceeded> {
         self.room(node, amount, now.into())?;
         self.last += 1;
-        let id = HoldId(self.last);
+        let id = ReservationId(self.last);
         for k in self.path(node) {
             self.nodes[k].reserved += amount;
-            self.nodes[k].holds += 1;
+            self.nodes[k].reservations += 1;
         }
-        self.holds.insert(id, Hold { node, amount });
+        self.reservations.insert(id, Reservation { node, amount });
         Ok(id)
     }
 
     /// Reserves more under the same reservation, or nothing.
     pub fn extend(
         &mut self,
-        id: HoldId,
-        more: Micro,
-        now: impl Into<Moment>,
-    ) -> Result<(), Refusal> {
-        let Some(node) = self.holds.get(&id).map(|h| h.node) else {
+        id: ReservationId,
+        more: MicroTokens,
+        now: impl Into<ClockReading>,
+    ) -> Result<(), BudgetExceeded> {
+        let Some(node) = self.reservations.get(&id).map(|h| h.node) else {
             return Ok(());
         };
         self.room(node, more, now.into())?;
         for k in self.path(node) {
             self.nodes[k].reserved += more;
         }
-        self.holds.entry(id).and_modify(|h| h.amount += more);
+        self.reservations.entry(id).and_modify(|h| h.amount += more);
         Ok(())
     }
 
     /// Makes a reservation this large: another model's price, say. A smaller one is always had.
     pub fn resize(
         &mut self,
-        id: HoldId,
-        amount: Micro,
-        now: impl Into<Moment>,
-    ) -> Result<(), Refusal> {
-        let Some(held) = self.holds.get(&id).map(|h| h.amount) else {
+        id: ReservationId,
+        amount: MicroTokens,
+        now: impl Into<ClockReading>,
+    ) -> Result<(), BudgetExceeded> {
+        let Some(held) = self.reservations.get(&id).map(|h| h.amount) else {
             return Ok(());
         };
         match amount.checked_sub(held) {
             Some(0) => Ok(()),
             Some(more) => self.extend(id, more, now),
             None => {
-                let node = self.holds[&id].node;
+                let node = self.reservations[&id].node;
                 for k in self.path(node) {
                     self.nodes[k].reserved -= held - amount;
                 }
-                self.holds.entry(id).and_modify(|h| h.amount = amount);
+                self.reservations
+                    .entry(id)
+                    .and_modify(|h| h.amount = amount);
                 Ok(())
             }
         }
     }
 
     /// What a reservation holds; zero once it has ended.
-    pub fn held(&self, id: HoldId) -> Micro {
-        self.holds.get(&id).map_or(0, |h| h.amount)
+    pub fn reserved(&self, id: ReservationId) -> MicroTokens {
+        self.reservations.get(&id).map_or(0, |h| h.amount)
     }
 
     /// Ends a reservation: what was used is charged. Ending it again does nothing.
-    pub fn settle(&mut self, id: HoldId, used: Micro, now: impl Into<Moment>) -> Charge {
-        let Some(Hold { node, amount }) = self.holds.remove(&id) else {
+    pub fn settle(
+        &mut self,
+        id: ReservationId,
+        used: MicroTokens,
+        now: impl Into<ClockReading>,
+    ) -> Charge {
+        let Some(Reservation { node, amount }) = self.reservations.remove(&id) else {
             return Charge::default();
         };
         let now = now.into();
@@ -190,7 +197,7 @@
         for k in self.path(node) {
             let n = &mut self.nodes[k];
             n.reserved -= amount;
-            n.holds -= 1;
+            n.reservations -= 1;
             let mut left = 0;
             for (_, gauge) in &mut n.budgets {
                 gauge.advance(now);
@@ -198,7 +205,7 @@
             }
             n.uncharged = n.uncharged.saturating_add(left);
             uncharged = uncharged.max(left);
-            if n.holds == 0 && !n.listed {
+            if n.reservations == 0 && !n.listed {
                 self.drop_node(k);
             }
         }
@@ -206,17 +213,22 @@
     }
 
     /// Ends a reservation of which nothing was used.
-    pub fn release(&mut self, id: HoldId, now: impl Into<Moment>) {
+    pub fn release(&mut self, id: ReservationId, now: impl Into<ClockReading>) {
         self.settle(id, 0, now);
     }
 
     /// Reservations that have not ended.
-    pub fn open(&self) -> usize {
-        self.holds.len()
+    pub fn reservation_count(&self) -> usize {
+        self.reservations.len()
     }
 
-    fn room(&mut self, node: NodeId, amount: Micro, now: Moment) -> Result<(), Refusal> {
-        let mut worst: Option<(Dur, Refusal)> = None;
+    fn room(
+        &mut self,
+        node: NodeId,
+        amount: MicroTokens,
+        now: ClockReading,
+    ) -> Result<(), BudgetExceeded> {
+        let mut worst: Option<(Dur, BudgetExceeded)> = None;
         let path: Vec<usize> = self.path(node).collect();
         for (up, &k) in path.iter().enumerate() {
             let n = &mut self.nodes[k];
@@ -225,17 +237,17 @@
                 let Err(short) = gauge.room(n.reserved, amount, now) else {
                     continue;
                 };
-                let (wait, retry_in) = match short {
+                let (wait, retry_after) = match short {
                     Short::Never => (Dur::MAX, None),
                     Short::Until(wait) => (wait, Some(wait)),
                 };
                 if worst.as_ref().is_none_or(|w| wait > w.0) {
-                    let refusal = Refusal {
+                    let refusal = BudgetExceeded {
                         node: n.path.clone(),
                         depth: path.len() - 1 - up,
                         budget: name.clone(),
-                        retry_in,
-                        reading: gauge.reading(now),
+                        retry_after,
+                        status: gauge.status(now),
                         reserved: n.reserved,
                     };
                     worst = Some((wait, refusal));
@@ -257,7 +269,11 @@
     /// Brings another tree into force, whole or not at all. What is spent and reserved stays with
     /// nodes of the same path and budgets of the same name; a lowered budget refuses until it has
     /// room. A node that is gone ends once its reservations have.
-    pub fn reload(&mut self, tree: &Tree, now: impl Into<Moment>) -> Result<(), TreeFault> {
+    pub fn reload(
+        &mut self,
+        tree: &BudgetTree,
+        now: impl Into<ClockReading>,
+    ) -> Result<(), BudgetTreeError> {
         tree.check()?;
         let now = now.into();
         for node in &mut self.nodes {
@@ -267,11 +283,11 @@
             let parent = n
                 .path
                 .rsplit_once('/')
-                .and_then(|(parent, _)| self.node(parent));
+                .and_then(|(parent, _)| self.find_node(parent));
             let gauge =
                 |b: &super::Budget| (b.name.clone(), Gauge::new(&b.limit, tree.instances, now));
             let mut budgets: Vec<(String, Gauge)> = n.budgets.iter().map(gauge).collect();
-            match self.node(&n.path) {
+            match self.find_node(&n.path) {
                 Some(NodeId(k)) => {
                     let node = &mut self.nodes[k as usize];
                     for (name, gauge) in &mut budgets {
@@ -289,7 +305,7 @@
                         parent,
                         listed,
                         reserved: 0,
-                        holds: 0,
+                        reservations: 0,
                         uncharged: 0,
                         budgets,
                     };
@@ -304,7 +320,7 @@
         }
         for k in 0..self.nodes.len() {
             let node = &self.nodes[k];
-            if !node.listed && node.holds == 0 && !node.path.is_empty() {
+            if !node.listed && node.reservations == 0 && !node.path.is_empty() {
                 self.drop_node(k);
             }
         }
@@ -312,21 +328,21 @@
     }
 
     /// A node and all below it, by path. It reads every node: for people, not for RPCs.
-    pub fn reports(&mut self, node: NodeId, now: impl Into<Moment>) -> Vec<Report> {
+    pub fn subtree_usage(&mut self, node: NodeId, now: impl Into<ClockReading>) -> Vec<NodeUsage> {
         let now = now.into();
         let top = self.nodes[node.0 as usize].path.clone();
         let below = |path: &str| {
             path.strip_prefix(top.as_str())
                 .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
         };
-        let mut all: Vec<Report> = Vec::new();
+        let mut all: Vec<NodeUsage> = Vec::new();
         for n in self.nodes.iter_mut().filter(|n| n.listed && below(&n.path)) {
             let budgets = n.budgets.iter_mut().map(|(name, gauge)| {
                 gauge.advance(now);
-                (name.clone(), gauge.reading(now))
+                (name.clone(), gauge.status(now))
             });
             let budgets = budgets.collect();
-            all.push(Report {
+            all.push(NodeUsage {
                 path: n.path.clone(),
                 reserved: n.reserved,
                 uncharged: n.uncharged,
--- a/src/spend/ledger/snapshot.rs
+++ b/src/spend/ledger/snapshot.rs
@@ -4,7 +4,7 @@
 
 use super::{Ledger, NodeId};
 use crate::interface::Time;
-use crate::spend::{Micro, Moment};
+use crate::spend::{ClockReading, MicroTokens};
 
 /// A node's state as plain data: what a durable or shared ledger would keep. Reservations are not
 /// kept; whoever restores must have settled or charged them.
@@ -13,18 +13,18 @@
     /// Its path.
     pub path: String,
     /// Each budget's name, what is spent of it, and as of when (Unix time, microseconds).
-    pub spent: Vec<(String, Micro, u64)>,
+    pub spent: Vec<(String, MicroTokens, u64)>,
 }
 
 impl Ledger {
     /// What is spent, as plain data.
-    pub fn snapshot(&mut self, now: impl Into<Moment>) -> Vec<NodeState> {
+    pub fn snapshot(&mut self, now: impl Into<ClockReading>) -> Vec<NodeState> {
         let now = now.into();
         let listed = self.nodes.iter_mut().filter(|n| n.listed);
         let state = listed.map(|n| {
             let spent = n.budgets.iter_mut().map(|(name, gauge)| {
                 gauge.advance(now);
-                (name.clone(), gauge.reading(now).spent, now.wall.0)
+                (name.clone(), gauge.status(now).spent, now.wall.0)
             });
             NodeState {
                 path: n.path.clone(),
@@ -37,7 +37,7 @@
     /// Brings back what a snapshot held; nodes and budgets that are not there now are passed over.
     pub fn restore(&mut self, states: &[NodeState]) {
         for state in states {
-            let Some(NodeId(k)) = self.node(&state.path) else {
+            let Some(NodeId(k)) = self.find_node(&state.path) else {
                 continue;
             };
             for (name, spent, at) in &state.spent {
--- a/src/spend/period.rs
+++ b/src/spend/period.rs
@@ -11,7 +11,7 @@
 
 /// How long a period is.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Length {
+pub enum PeriodLength {
     /// An hour of the clock.
     Hour,
     /// From midnight to midnight: 23 or 25 hours where the clock changes.
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Period {
     /// Its length.
-    pub length: Length,
+    pub length: PeriodLength,
     /// Whose clock.
     pub zone: TimeZone,
 }
@@ -47,7 +47,7 @@
         let here: ZonedDateTime = instant.to_zoned_datetime(self.zone.clone());
         let midnight = |date: Date| date.to_zoned_datetime(self.zone.clone()).ok().map(time);
         match &self.length {
-            Length::Hour => {
+            PeriodLength::Hour => {
                 // guards against an hour of the clock that comes twice, or in part, at a clock
                 // change: hours count in elapsed time from the offset's own hour
                 let shift = i64::from(here.offset().seconds()).rem_euclid(3600) as u64 * 1_000_000;
@@ -58,11 +58,11 @@
                     Time(start + hour - shift),
                 ))
             }
-            Length::Day => Some((
+            PeriodLength::Day => Some((
                 midnight(here.date())?,
                 midnight(here.date().checked_add(1.day()).ok()?)?,
             )),
-            Length::Week => {
+            PeriodLength::Week => {
                 let back = here.date().weekday().to_monday_zero_offset();
                 let monday = here.date().checked_sub(back.days()).ok()?;
                 Some((
@@ -70,7 +70,7 @@
                     midnight(monday.checked_add(7.days()).ok()?)?,
                 ))
             }
-            Length::Term(days) => {
+            PeriodLength::Term(days) => {
                 let next = days.partition_point(|d| midnight(*d).is_some_and(|m| m <= at));
                 let start = next
                     .checked_sub(1)
@@ -99,14 +99,14 @@
     }
 
     #[rstest]
-    #[case::a_plain_day(Length::Day, "2026-10-05T12:00:00-04:00", 24)]
-    #[case::the_day_loses_an_hour(Length::Day, "2026-03-08T12:00:00-04:00", 23)]
-    #[case::the_day_gains_an_hour(Length::Day, "2026-11-01T01:30:00-05:00", 25)]
-    #[case::the_week_gains_an_hour(Length::Week, "2026-11-01T12:00:00-05:00", 169)]
-    #[case::an_hour(Length::Hour, "2026-11-01T01:30:00-04:00", 1)]
-    #[case::the_hour_that_comes_twice(Length::Hour, "2026-11-01T01:30:00-05:00", 1)]
+    #[case::a_plain_day(PeriodLength::Day, "2026-10-05T12:00:00-04:00", 24)]
+    #[case::the_day_loses_an_hour(PeriodLength::Day, "2026-03-08T12:00:00-04:00", 23)]
+    #[case::the_day_gains_an_hour(PeriodLength::Day, "2026-11-01T01:30:00-05:00", 25)]
+    #[case::the_week_gains_an_hour(PeriodLength::Week, "2026-11-01T12:00:00-05:00", 169)]
+    #[case::an_hour(PeriodLength::Hour, "2026-11-01T01:30:00-04:00", 1)]
+    #[case::the_hour_that_comes_twice(PeriodLength::Hour, "2026-11-01T01:30:00-05:00", 1)]
     fn periods_go_by_the_places_clock(
-        #[case] length: Length,
+        #[case] length: PeriodLength,
         #[case] now: &str,
         #[case] hours: u64,
     ) {
@@ -127,7 +127,7 @@
     fn terms_begin_on_their_days() {
         let days = ["2026-08-24", "2027-01-11"].map(|d| d.parse().unwrap());
         let period = Period {
-            length: Length::Term(days.into()),
+            length: PeriodLength::Term(days.into()),
             zone: TimeZone::get("Europe/Berlin").unwrap(),
         };
         let first = at("2026-08-24T00:00:00+02:00");
@@ -141,7 +141,7 @@
     #[test]
     fn a_midnight_that_the_clock_skips() {
         let period = Period {
-            length: Length::Day,
+            length: PeriodLength::Day,
             zone: TimeZone::get("America/Sao_Paulo").unwrap(),
         };
         let (start, end) = period.around(at("2018-11-04T12:00:00-02:00"));
--- a/tests/batch_faults.rs
+++ b/tests/batch_faults.rs
@@ -41,11 +41,13 @@
 }
 
 fn key() -> String {
-    identity::new_key("class", &[7; 32])
+    identity::format_key("class", &[7; 32])
 }
 
 fn write_settings(folder: &Folder, server: &ModelServer) {
-    let hash = identity::written(&identity::hash(identity::parts(&key()).unwrap().1));
+    let hash = identity::format_hash(&identity::hash_secret(
+        identity::split_key(&key()).unwrap().1,
+    ));
     let edge = "keys = \"keys.toml\"\nterms = [\"2020-01-01\"]\n\
         [[model]]\nname = \"hint\"\nwindow = 4000\nmax_answer = 100\nclass = \"hint\"\n\
         [[price]]\nmodel = \"hint\"\nprompt = 1_000_000\nanswer = 1_000_000\n\
--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -70,7 +70,7 @@
 }
 
 fn key(node: &str) -> String {
-    identity::new_key(&node.replace('/', "_"), &[9; 32])
+    identity::format_key(&node.replace('/', "_"), &[9; 32])
 }
 
 fn keys(nodes: &str) -> String {
@@ -79,10 +79,10 @@
         .filter_map(|l| l.strip_prefix("path = \"")?.strip_suffix('"'));
     let entry = |path: &str| {
         let key = key(path);
-        let (id, secret) = identity::parts(&key).unwrap();
+        let (id, secret) = identity::split_key(&key).unwrap();
         format!(
             "[[key]]\nid = \"{id}\"\nnode = \"{path}\"\nhash = \"{}\"\n",
-            identity::written(&identity::hash(secret))
+            identity::format_hash(&identity::hash_secret(secret))
         )
     };
     paths.map(entry).collect()
@@ -888,10 +888,16 @@
     #[case] says: &str,
 ) {
     use stilespan::edge::config::Book;
-    use stilespan::routing::Numbers;
+    use stilespan::routing::ModelNumbers;
     let parse = |text: &str| {
         let path = std::path::Path::new("edge.toml");
-        Book::parse(path, text, &["hint".to_string()], &mut Numbers::default()).map(|b| b.0)
+        Book::parse(
+            path,
+            text,
+            &["hint".to_string()],
+            &mut ModelNumbers::default(),
+        )
+        .map(|b| b.0)
     };
     let text = edge_text(NODES);
     parse(&text).unwrap();
--- a/tests/edge_load.rs
+++ b/tests/edge_load.rs
@@ -44,7 +44,9 @@
         edge.push_str(&format!(
             "[[node]]\npath = \"d/{school}\"\nbudgets = [{{ per = \"term\", tokens = {tokens} }}]\n"
         ));
-        let hash = identity::written(&identity::hash(identity::parts(&key(school)).unwrap().1));
+        let hash = identity::format_hash(&identity::hash_secret(
+            identity::split_key(&key(school)).unwrap().1,
+        ));
         keys.push_str(&format!(
             "[[key]]\nid = \"{school}\"\nnode = \"d/{school}\"\nhash = \"{hash}\"\n"
         ));
@@ -60,7 +62,7 @@
 }
 
 fn key(school: &str) -> String {
-    identity::new_key(school, &[5; 32])
+    identity::format_key(school, &[5; 32])
 }
 
 /// What a client got.
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -13,15 +13,15 @@
 fn spec(name: &str, window: u32, fallback: Option<&str>) -> ModelSpec {
     ModelSpec {
         name: name.into(),
-        window,
-        max_answer: window / 2,
+        context_window: window,
+        max_output_tokens: window / 2,
         fallback: fallback.map(String::from),
         ..ModelSpec::default()
     }
 }
 
-fn build(specs: &[ModelSpec]) -> Result<Catalog, CatalogFault> {
-    Catalog::build(specs, &[], &[], &mut Numbers::default())
+fn build(specs: &[ModelSpec]) -> Result<Catalog, CatalogError> {
+    Catalog::build(specs, &[], &[], &mut ModelNumbers::default())
 }
 
 /// marker -> hint -> tiny, with windows of 8,000, 4,000 and 1,000 tokens.
@@ -34,99 +34,120 @@
     Arc::new(build(&specs).unwrap())
 }
 
-fn hosts(catalog: &Arc<Catalog>, with: &[&str]) -> Holdings {
-    let mut all = Holdings::default();
+fn hosts(catalog: &Arc<Catalog>, with: &[&str]) -> ModelInventory {
+    let mut inventory = ModelInventory::default();
     for (k, name) in with.iter().enumerate() {
-        all.list(
+        inventory.set_listed(
             ReplicaId(k as u64),
             State::InService,
             Time(0),
             Some(&[name.to_string()]),
         );
     }
-    all.count(std::slice::from_ref(catalog));
-    all
+    inventory.recount_hosts(std::slice::from_ref(catalog));
+    inventory
 }
 
-fn ask(prompt: u32) -> Ask {
-    Ask {
+fn query(prompt_tokens: u32) -> ChatQuery {
+    ChatQuery {
         model: 0,
-        prompt,
-        cap: None,
-        expires: Time(1_500_000),
-        attempts: 3,
-        safe: true,
+        prompt_tokens,
+        max_output_tokens: None,
+        expires_at: Time(1_500_000),
+        max_attempts: 3,
+        idempotent: true,
     }
 }
 
-fn tried(step: Step) -> Leg {
+fn tried(step: RouteStep) -> Submission {
     match step {
-        Step::Try(leg) => leg,
-        Step::End(why) => panic!("{why:?}"),
+        RouteStep::Submit(leg) => leg,
+        RouteStep::Exhausted(why) => panic!("{why:?}"),
     }
 }
 
-fn refused(attempts: u32, retry_in: Option<u64>) -> Ended {
-    Ended {
+fn refused(attempts: u32, retry_after: Option<u64>) -> SubmissionEnd {
+    SubmissionEnd {
         attempts,
-        sent: false,
-        retry_in: retry_in.map(Dur),
-        refused: true,
+        forwarded: false,
+        retry_after: retry_after.map(Dur),
+        rejected: true,
     }
 }
 
 #[test]
 fn a_route_goes_down_its_chain_within_its_attempts() {
     let catalog = catalog();
-    let all = hosts(&catalog, &["marker", "hint", "tiny"]);
-    let mut needs = Needs::new(AIM);
-    let mut route = Route::new(catalog, ask(500), |_| true).unwrap();
-    let leg = tried(route.next(&all, &needs, Time(0)));
+    let inventory = hosts(&catalog, &["marker", "hint", "tiny"]);
+    let mut estimates = FirstTokenEstimates::new(AIM);
+    let mut route = Route::new(catalog, query(500), |_| true).unwrap();
+    let leg = tried(route.next_step(&inventory, &estimates, Time(0)));
     // one attempt and the time for it are kept back for the next model
     assert_eq!(
-        (leg.model, leg.cap, leg.spent, leg.until),
+        (
+            leg.model,
+            leg.max_output_tokens,
+            leg.unavailable_attempts,
+            leg.deadline
+        ),
         (0, 4_000, 1, Time(1_100_000))
     );
-    route.ended(
-        Ended {
+    route.submission_ended(
+        SubmissionEnd {
             attempts: 2,
-            sent: true,
-            retry_in: None,
-            refused: true,
+            forwarded: true,
+            retry_after: None,
+            rejected: true,
         },
-        &mut needs,
+        &mut estimates,
         Time(500_000),
     );
-    let leg = tried(route.next(&all, &needs, Time(500_000)));
-    assert_eq!((leg.model, leg.cap, leg.spent), (1, 2_000, 2));
-    route.ended(refused(1, None), &mut needs, Time(700_000));
-    let end = GaveUp {
-        refused: true,
+    let leg = tried(route.next_step(&inventory, &estimates, Time(500_000)));
+    assert_eq!(
+        (leg.model, leg.max_output_tokens, leg.unavailable_attempts),
+        (1, 2_000, 2)
+    );
+    route.submission_ended(refused(1, None), &mut estimates, Time(700_000));
+    let end = RouteExhausted {
+        rejected: true,
         attempts: 3,
-        retry_in: None,
+        retry_after: None,
         no_host: false,
     };
-    assert_eq!(route.next(&all, &needs, Time(700_000)), Step::End(end));
+    assert_eq!(
+        route.next_step(&inventory, &estimates, Time(700_000)),
+        RouteStep::Exhausted(end)
+    );
 }
 
 #[test]
 fn a_model_without_hosts_is_passed_over_and_taken_once_they_are_back() {
     let catalog = catalog();
-    let mut needs = Needs::new(AIM);
-    let mut route = Route::new(catalog.clone(), ask(500), |_| true).unwrap();
-    let leg = tried(route.next(&hosts(&catalog, &["hint"]), &needs, Time(0)));
-    assert_eq!((leg.model, leg.spent, leg.until), (1, 0, Time(1_500_000)));
+    let mut estimates = FirstTokenEstimates::new(AIM);
+    let mut route = Route::new(catalog.clone(), query(500), |_| true).unwrap();
+    let leg = tried(route.next_step(&hosts(&catalog, &["hint"]), &estimates, Time(0)));
+    assert_eq!(
+        (leg.model, leg.unavailable_attempts, leg.deadline),
+        (1, 0, Time(1_500_000))
+    );
     // the fallback declines and tells when to come back; the preferred is back meanwhile
-    route.ended(refused(0, Some(900_000)), &mut needs, Time(10_000));
-    let leg = tried(route.next(&hosts(&catalog, &["marker", "hint"]), &needs, Time(10_000)));
+    route.submission_ended(refused(0, Some(900_000)), &mut estimates, Time(10_000));
+    let leg = tried(route.next_step(
+        &hosts(&catalog, &["marker", "hint"]),
+        &estimates,
+        Time(10_000),
+    ));
     assert_eq!(leg.model, 0);
-    route.ended(refused(0, Some(300_000)), &mut needs, Time(20_000));
-    let Step::End(end) = route.next(&hosts(&catalog, &["marker", "hint"]), &needs, Time(20_000))
-    else {
+    route.submission_ended(refused(0, Some(300_000)), &mut estimates, Time(20_000));
+    let RouteStep::Exhausted(end) = route.next_step(
+        &hosts(&catalog, &["marker", "hint"]),
+        &estimates,
+        Time(20_000),
+    ) else {
         panic!("each model has its turn once");
     };
     assert_eq!(
-        (end.refused, end.retry_in, end.no_host),
+        (end.rejected, end.retry_after, end.no_host),
         (true, Some(Dur(300_000)), false)
     );
 }
@@ -134,97 +155,106 @@
 #[test]
 fn no_host_at_all_is_said_at_once() {
     let catalog = catalog();
-    let mut route = Route::new(catalog.clone(), ask(500), |_| true).unwrap();
-    let Step::End(end) = route.next(&hosts(&catalog, &[]), &Needs::new(AIM), Time(0)) else {
+    let mut route = Route::new(catalog.clone(), query(500), |_| true).unwrap();
+    let RouteStep::Exhausted(end) = route.next_step(
+        &hosts(&catalog, &[]),
+        &FirstTokenEstimates::new(AIM),
+        Time(0),
+    ) else {
         panic!()
     };
-    assert!(end.no_host && end.refused && end.attempts == 0);
+    assert!(end.no_host && end.rejected && end.attempts == 0);
 }
 
 #[test]
 fn windows_and_permissions_hold_for_fallbacks_too() {
     let catalog = catalog();
-    let needs = Needs::new(AIM);
+    let estimates = FirstTokenEstimates::new(AIM);
     // the prompt fits the marker alone
-    let mut route = Route::new(catalog.clone(), ask(5_000), |_| true).unwrap();
+    let mut route = Route::new(catalog.clone(), query(5_000), |_| true).unwrap();
     assert!(matches!(
-        route.next(&hosts(&catalog, &["hint", "tiny"]), &needs, Time(0)),
-        Step::End(_)
+        route.next_step(&hosts(&catalog, &["hint", "tiny"]), &estimates, Time(0)),
+        RouteStep::Exhausted(_)
     ));
     // the school may not use the middle one
-    let mut route = Route::new(catalog.clone(), ask(500), |m| m != 1).unwrap();
+    let mut route = Route::new(catalog.clone(), query(500), |m| m != 1).unwrap();
     assert_eq!(
-        tried(route.next(&hosts(&catalog, &["hint", "tiny"]), &needs, Time(0))).model,
+        tried(route.next_step(&hosts(&catalog, &["hint", "tiny"]), &estimates, Time(0))).model,
         2
     );
     assert_eq!(
-        Route::new(catalog.clone(), ask(500), |m| m != 0).unwrap_err(),
-        NotAsked::Forbidden
+        Route::new(catalog.clone(), query(500), |m| m != 0).unwrap_err(),
+        RouteError::ModelForbidden
     );
     assert_eq!(
-        Route::new(catalog, ask(8_000), |_| true).unwrap_err(),
-        NotAsked::TooLong(8_000)
+        Route::new(catalog, query(8_000), |_| true).unwrap_err(),
+        RouteError::PromptTooLong {
+            context_window: 8_000
+        }
     );
 }
 
 #[test]
 fn a_model_that_needs_more_than_the_time_left_is_passed_over() {
     let catalog = catalog();
-    let all = hosts(&catalog, &["marker", "hint"]);
-    let mut needs = Needs::new(AIM);
+    let inventory = hosts(&catalog, &["marker", "hint"]);
+    let mut estimates = FirstTokenEstimates::new(AIM);
     let (marker, hint) = (catalog.model(0).number, catalog.model(1).number);
     for k in 0..50 {
-        needs.learn(marker, 500, Dur(1_300_000), Time(k * 1_000));
-        needs.learn(hint, 500, Dur(100_000), Time(k * 1_000));
+        estimates.record(marker, 500, Dur(1_300_000), Time(k * 1_000));
+        estimates.record(hint, 500, Dur(100_000), Time(k * 1_000));
     }
     let mut route = Route::new(
         catalog.clone(),
-        Ask {
-            expires: Time(2_500_000),
-            ..ask(500)
+        ChatQuery {
+            expires_at: Time(2_500_000),
+            ..query(500)
         },
         |_| true,
     )
     .unwrap();
-    let leg = tried(route.next(&all, &needs, Time(50_000)));
+    let leg = tried(route.next_step(&inventory, &estimates, Time(50_000)));
     assert_eq!(leg.model, 0);
     assert!(
-        leg.until < Time(2_450_000),
+        leg.deadline < Time(2_450_000),
         "time for the fallback is kept back: {leg:?}"
     );
-    let mut route = Route::new(catalog, ask(500), |_| true).unwrap();
-    assert_eq!(tried(route.next(&all, &needs, Time(900_000))).model, 1);
+    let mut route = Route::new(catalog, query(500), |_| true).unwrap();
+    assert_eq!(
+        tried(route.next_step(&inventory, &estimates, Time(900_000))).model,
+        1
+    );
 }
 
 #[test]
 fn what_may_have_run_and_must_not_run_twice_has_no_fallback() {
     let catalog = catalog();
-    let all = hosts(&catalog, &["marker", "hint"]);
-    let mut needs = Needs::new(AIM);
+    let inventory = hosts(&catalog, &["marker", "hint"]);
+    let mut estimates = FirstTokenEstimates::new(AIM);
     let mut route = Route::new(
         catalog,
-        Ask {
-            safe: false,
-            ..ask(500)
+        ChatQuery {
+            idempotent: false,
+            ..query(500)
         },
         |_| true,
     )
     .unwrap();
-    tried(route.next(&all, &needs, Time(0)));
-    route.ended(
-        Ended {
+    tried(route.next_step(&inventory, &estimates, Time(0)));
+    route.submission_ended(
+        SubmissionEnd {
             attempts: 1,
-            sent: true,
-            retry_in: None,
-            refused: false,
+            forwarded: true,
+            retry_after: None,
+            rejected: false,
         },
-        &mut needs,
+        &mut estimates,
         Time(1_000),
     );
-    let Step::End(end) = route.next(&all, &needs, Time(1_000)) else {
+    let RouteStep::Exhausted(end) = route.next_step(&inventory, &estimates, Time(1_000)) else {
         panic!()
     };
-    assert!(!end.refused);
+    assert!(!end.rejected);
 }
 
 #[rstest]
@@ -235,10 +265,10 @@
 #[case::no_window(vec![spec("a", 0, None)], 0, "window")]
 #[case::no_base(vec![ModelSpec { base: Some("x".into()), ..spec("a", 10, None) }], 0, "base \"x\" is no model")]
 #[case::own_base(vec![ModelSpec { base: Some("a".into()), ..spec("a", 10, None) }], 0, "adapter itself")]
-#[case::load_without_base(vec![ModelSpec { load: Dur(1), ..spec("a", 10, None) }], 0, "only an adapter")]
+#[case::load_without_base(vec![ModelSpec { load_time: Dur(1), ..spec("a", 10, None) }], 0, "only an adapter")]
 fn a_wrong_model_is_named(#[case] specs: Vec<ModelSpec>, #[case] at: usize, #[case] says: &str) {
     match build(&specs) {
-        Err(CatalogFault::Model(k, what)) if k == at => assert!(what.contains(says), "{what}"),
+        Err(CatalogError::Model(k, what)) if k == at => assert!(what.contains(says), "{what}"),
         other => panic!("{other:?}"),
     }
 }
@@ -253,39 +283,39 @@
     let price = |name: &str| Named {
         name: name.into(),
         value: Price {
-            prompt: 1,
-            answer: 2,
+            per_prompt_token: 1,
+            per_output_token: 2,
         },
     };
-    let mut numbers = Numbers::default();
+    let mut numbers = ModelNumbers::default();
     let mut of = |aliases: &[Named<String>], prices: &[Named<Price>]| {
         Catalog::build(&specs, aliases, prices, &mut numbers)
     };
     let good = of(&[alias("x", "b"), alias("y", "b")], &[price("b")]).unwrap();
     assert_eq!((good.find("x"), good.aliases(1)), (Some(1), vec!["x", "y"]));
     assert_eq!(
-        (good.model(0).price, good.model(1).price.of(3, 4)),
+        (good.model(0).price, good.model(1).price.cost(3, 4)),
         (Price::default(), 11)
     );
     assert!(matches!(
         of(&[alias("x", "c")], &[]),
-        Err(CatalogFault::Alias(0, _))
+        Err(CatalogError::Alias(0, _))
     ));
     assert!(matches!(
         of(&[alias("x", "a"), alias("y", "x")], &[]),
-        Err(CatalogFault::Alias(1, _))
+        Err(CatalogError::Alias(1, _))
     ));
     assert!(matches!(
         of(&[alias("a", "b")], &[]),
-        Err(CatalogFault::Alias(0, _))
+        Err(CatalogError::Alias(0, _))
     ));
     assert!(matches!(
         of(&[], &[price("a"), price("a")]),
-        Err(CatalogFault::Price(1, _))
+        Err(CatalogError::Price(1, _))
     ));
     assert!(matches!(
         of(&[], &[price("c")]),
-        Err(CatalogFault::Price(0, _))
+        Err(CatalogError::Price(0, _))
     ));
     // a name keeps its number over reloads
     let again = Catalog::build(&specs[1..], &[], &[], &mut numbers).unwrap();
@@ -302,10 +332,10 @@
     fn what_must_hold_of_every_route(
         windows in prop::collection::vec(600..4_000u32, 1..8),
         forbidden in prop::collection::vec(any::<bool>(), 8),
-        prompt in 1..3_000u32,
-        cap in prop::option::of(1..5_000u32),
-        attempts in 1..=3u32,
-        safe in any::<bool>(),
+        prompt_tokens in 1..3_000u32,
+        max_output_tokens in prop::option::of(1..5_000u32),
+        max_attempts in 1..=3u32,
+        idempotent in any::<bool>(),
         moves in prop::collection::vec((0..=3u32, any::<bool>(), any::<bool>(), 0..800_000u64, any::<u8>()), 12),
     ) {
         let names: Vec<String> = (0..windows.len()).map(|k| format!("m{k}")).collect();
@@ -313,41 +343,41 @@
             windows.iter().enumerate().map(|(k, w)| spec(&names[k], *w, names.get(k + 1).map(|n| n.as_str()))).collect();
         let catalog = Arc::new(build(&specs).unwrap());
         let allowed = |m: usize| !forbidden[m];
-        let ask = Ask { model: 0, prompt, cap, expires: Time(1_500_000), attempts, safe };
-        let Ok(mut route) = Route::new(catalog.clone(), ask, allowed) else {
-            prop_assert!(forbidden[0] || windows[0] <= prompt);
+        let query = ChatQuery { model: 0, prompt_tokens, max_output_tokens, expires_at: Time(1_500_000), max_attempts, idempotent };
+        let Ok(mut route) = Route::new(catalog.clone(), query, allowed) else {
+            prop_assert!(forbidden[0] || windows[0] <= prompt_tokens);
             return Ok(());
         };
-        let mut needs = Needs::new(AIM);
+        let mut estimates = FirstTokenEstimates::new(AIM);
         let (mut now, mut made, mut ran, mut seen) = (Time(0), 0, false, Vec::new());
         let mut over = false;
-        for (n, sent, refused, took, mask) in moves {
+        for (n, forwarded, rejected, took, mask) in moves {
             let with: Vec<&str> = names.iter().enumerate().filter(|(k, _)| mask >> k & 1 == 1).map(|(_, n)| n.as_str()).collect();
-            match route.next(&hosts(&catalog, &with), &needs, now) {
-                Step::End(end) => {
+            match route.next_step(&hosts(&catalog, &with), &estimates, now) {
+                RouteStep::Exhausted(end) => {
                     prop_assert_eq!(end.attempts, made);
                     over = true;
                     break;
                 }
-                Step::Try(leg) => {
+                RouteStep::Submit(leg) => {
                     prop_assert!(allowed(leg.model) && !seen.contains(&leg.model));
                     prop_assert!(with.contains(&names[leg.model].as_str()));
-                    prop_assert!(leg.cap >= 1 && prompt + leg.cap <= windows[leg.model]);
-                    prop_assert!(cap.is_none_or(|c| leg.cap <= c));
-                    prop_assert!(leg.until <= Time(1_500_000) && leg.until > now);
-                    prop_assert!(leg.spent >= made && leg.spent < attempts);
-                    prop_assert!(safe || !ran);
+                    prop_assert!(leg.max_output_tokens >= 1 && prompt_tokens + leg.max_output_tokens <= windows[leg.model]);
+                    prop_assert!(max_output_tokens.is_none_or(|c| leg.max_output_tokens <= c));
+                    prop_assert!(leg.deadline <= Time(1_500_000) && leg.deadline > now);
+                    prop_assert!(leg.unavailable_attempts >= made && leg.unavailable_attempts < max_attempts);
+                    prop_assert!(idempotent || !ran);
                     seen.push(leg.model);
                     // the module makes no more than it was left
-                    let n = n.min(attempts - leg.spent);
-                    now = (now + Dur(took)).min(leg.until);
-                    let sent = sent && n > 0;
-                    (made, ran) = (made + n, ran || sent);
-                    route.ended(Ended { attempts: n, sent, retry_in: None, refused }, &mut needs, now);
+                    let n = n.min(max_attempts - leg.unavailable_attempts);
+                    now = (now + Dur(took)).min(leg.deadline);
+                    let forwarded = forwarded && n > 0;
+                    (made, ran) = (made + n, ran || forwarded);
+                    route.submission_ended(SubmissionEnd { attempts: n, forwarded, retry_after: None, rejected }, &mut estimates, now);
                 }
             }
         }
         prop_assert!(over, "at most one leg a model");
-        prop_assert!(made <= attempts);
+        prop_assert!(made <= max_attempts);
     }
 }
--- a/tests/spend.rs
+++ b/tests/spend.rs
@@ -6,39 +6,42 @@
 use jiff::tz::TimeZone;
 use proptest::prelude::*;
 use stilespan::interface::{Dur, Time};
-use stilespan::spend::{Budget, HoldId, Ledger, Length, Limit, Micro, Node, Period, Tree};
+use stilespan::spend::{
+    Budget, BudgetLimit, BudgetNode, BudgetTree, Ledger, MicroTokens, Period, PeriodLength,
+    ReservationId,
+};
 
 const HOUR: u64 = 3_600_000_000;
 const START: u64 = 1_000_000 * HOUR;
 const PATHS: [&str; 6] = ["d", "d/n", "d/s", "d/n/a", "d/n/b", "d/n/a/p"];
 
-fn hourly(amount: Micro) -> Budget {
+fn hourly(amount: MicroTokens) -> Budget {
     let period = Period {
-        length: Length::Hour,
+        length: PeriodLength::Hour,
         zone: TimeZone::UTC,
     };
     Budget {
         name: "hour".into(),
-        limit: Limit::Each { amount, period },
+        limit: BudgetLimit::PerPeriod { amount, period },
     }
 }
 
-fn drip(amount: Micro) -> Budget {
+fn drip(amount: MicroTokens) -> Budget {
     Budget {
         name: "drip".into(),
-        limit: Limit::Drip {
+        limit: BudgetLimit::TokenBucket {
             amount,
-            full_in: Dur(HOUR / 60),
+            refill_time: Dur(HOUR / 60),
         },
     }
 }
 
-fn tree(limits: &[Micro; 6], instances: u32) -> Tree {
-    let node = |(path, limit): (&&str, &Micro)| Node {
+fn tree(limits: &[MicroTokens; 6], instances: u32) -> BudgetTree {
+    let node = |(path, limit): (&&str, &MicroTokens)| BudgetNode {
         path: path.to_string(),
         budgets: vec![hourly(*limit), drip(*limit / 2 + 1)],
     };
-    Tree {
+    BudgetTree {
         nodes: PATHS.iter().zip(limits).map(node).collect(),
         instances,
     }
@@ -46,14 +49,14 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Reserve(usize, Micro),
-    Extend(usize, Micro),
-    Resize(usize, Micro),
-    Settle(usize, Micro),
+    Reserve(usize, MicroTokens),
+    Extend(usize, MicroTokens),
+    Resize(usize, MicroTokens),
+    Settle(usize, MicroTokens),
     Release(usize),
     Forward(u64),
     Back(u64),
-    Reload([Micro; 6]),
+    Reload([MicroTokens; 6]),
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -72,7 +75,7 @@
 /// One budget of the model: what it charged, by exact sums.
 #[derive(Clone, Default)]
 struct Sum {
-    limit: Micro,
+    limit: MicroTokens,
     spent: u128,
     /// The hour that is counted; a drip's time and its refill's remainder.
     mark: u64,
@@ -80,20 +83,20 @@
 
 struct Model {
     now: u64,
-    /// Per path: the hour's budget and the drip, in units of 1/full_in so that no refill is
+    /// Per path: the hour's budget and the drip, in units of 1/refill_time so that no refill is
     /// rounded.
     sums: BTreeMap<&'static str, (Sum, Sum)>,
-    holds: BTreeMap<HoldId, (&'static str, Micro)>,
+    reservations: BTreeMap<ReservationId, (&'static str, MicroTokens)>,
 }
 
 const FULL: u128 = (HOUR / 60) as u128;
 
 impl Model {
-    fn new(limits: &[Micro; 6]) -> Model {
+    fn new(limits: &[MicroTokens; 6]) -> Model {
         let mut model = Model {
             now: START,
             sums: BTreeMap::new(),
-            holds: BTreeMap::new(),
+            reservations: BTreeMap::new(),
         };
         model.limits(limits);
         for sum in model.sums.values_mut() {
@@ -102,7 +105,7 @@
         model
     }
 
-    fn limits(&mut self, limits: &[Micro; 6]) {
+    fn limits(&mut self, limits: &[MicroTokens; 6]) {
         self.pass();
         for (path, limit) in PATHS.iter().zip(limits) {
             let sum = self.sums.entry(path).or_default();
@@ -127,7 +130,7 @@
     }
 
     fn reserved(&self, node: &str) -> u128 {
-        self.holds
+        self.reservations
             .values()
             .filter(|h| Model::over(h.0, node))
             .map(|h| u128::from(h.1))
@@ -135,7 +138,7 @@
     }
 
     /// Whether there is room at every node of the path.
-    fn room(&mut self, path: &str, more: Micro) -> bool {
+    fn room(&mut self, path: &str, more: MicroTokens) -> bool {
         self.pass();
         for (node, (hour, drip)) in &self.sums {
             if !Model::over(path, node) {
@@ -153,9 +156,9 @@
         true
     }
 
-    fn settle(&mut self, id: HoldId, used: Micro) {
+    fn settle(&mut self, id: ReservationId, used: MicroTokens) {
         self.pass();
-        let Some((path, amount)) = self.holds.remove(&id) else {
+        let Some((path, amount)) = self.reservations.remove(&id) else {
             return;
         };
         for node in PATHS.iter().filter(|n| Model::over(path, n)) {
@@ -180,33 +183,33 @@
     ) {
         let mut ledger = Ledger::new(&tree(&limits, 1), Time(START)).unwrap();
         let mut model = Model::new(&limits);
-        let mut all: Vec<HoldId> = Vec::new();
+        let mut all: Vec<ReservationId> = Vec::new();
         // since a reload lowered a limit, that limit can be exceeded until there is room again
         let mut lowered = false;
         for op in ops {
             let now = Time(model.now);
-            let some = |k: usize, all: &[HoldId]| (!all.is_empty()).then(|| all[k % all.len()]);
+            let some = |k: usize, all: &[ReservationId]| (!all.is_empty()).then(|| all[k % all.len()]);
             match op {
                 Op::Reserve(node, amount) => {
-                    let id = ledger.node(PATHS[node]).unwrap();
+                    let id = ledger.find_node(PATHS[node]).unwrap();
                     let expected = model.room(PATHS[node], amount);
                     let got = ledger.reserve(id, amount, now);
                     prop_assert_eq!(got.is_ok(), expected, "{:?}", got);
                     match got {
                         Ok(hold) => {
-                            model.holds.insert(hold, (PATHS[node], amount));
+                            model.reservations.insert(hold, (PATHS[node], amount));
                             all.push(hold);
                         }
                         Err(refusal) => {
                             // it names a node of the asker's own path, and a wait where there is
                             // one
                             prop_assert!(Model::over(PATHS[node], &refusal.node));
-                            prop_assert!(refusal.retry_in.is_none_or(|d| d.0 > 0));
+                            prop_assert!(refusal.retry_after.is_none_or(|d| d.0 > 0));
                         }
                     }
                 }
                 Op::Extend(k, more) | Op::Resize(k, more) => if let Some(hold) = some(k, &all) {
-                    let known = model.holds.get(&hold).copied();
+                    let known = model.reservations.get(&hold).copied();
                     let to = if matches!(op, Op::Extend(..)) { known.map(|h| h.1 + more) } else { Some(more) };
                     let grown = known.zip(to).and_then(|(h, to)| Some((h.0, to.checked_sub(h.1)?)));
                     let expected = grown.map(|(path, by)| model.room(path, by));
@@ -218,10 +221,10 @@
                     if let (Some(expected), Some((_, 1..))) = (expected, grown) {
                         prop_assert_eq!(got.is_ok(), expected);
                     }
-                    if let (Ok(()), Some(held), Some(to)) = (got, model.holds.get_mut(&hold), to) {
+                    if let (Ok(()), Some(held), Some(to)) = (got, model.reservations.get_mut(&hold), to) {
                         held.1 = to;
                     }
-                    prop_assert_eq!(ledger.held(hold), model.holds.get(&hold).map_or(0, |h| h.1));
+                    prop_assert_eq!(ledger.reserved(hold), model.reservations.get(&hold).map_or(0, |h| h.1));
                 },
                 Op::Settle(k, used) => if let Some(hold) = some(k, &all) {
                     let charge = ledger.settle(hold, used, now);
@@ -241,9 +244,9 @@
                 }
             }
             model.pass();
-            prop_assert_eq!(ledger.open(), model.holds.len());
-            let root = ledger.node("d").unwrap();
-            for report in ledger.reports(root, Time(model.now)) {
+            prop_assert_eq!(ledger.reservation_count(), model.reservations.len());
+            let root = ledger.find_node("d").unwrap();
+            for report in ledger.subtree_usage(root, Time(model.now)) {
                 let reserved = model.reserved(&report.path);
                 prop_assert_eq!(u128::from(report.reserved), reserved);
                 let (hour, drip) = &model.sums[report.path.as_str()];
@@ -259,9 +262,9 @@
         for hold in all {
             ledger.release(hold, Time(model.now));
         }
-        prop_assert_eq!(ledger.open(), 0);
-        let root = ledger.node("d").unwrap();
-        prop_assert!(ledger.reports(root, Time(model.now)).iter().all(|r| r.reserved == 0));
+        prop_assert_eq!(ledger.reservation_count(), 0);
+        let root = ledger.find_node("d").unwrap();
+        prop_assert!(ledger.subtree_usage(root, Time(model.now)).iter().all(|r| r.reserved == 0));
     }
 }
 
@@ -271,7 +274,7 @@
     let mut used = 0;
     for _ in 0..3 {
         let mut ledger = Ledger::new(&tree, Time(START)).unwrap();
-        let node = ledger.node("d/n/a").unwrap();
+        let node = ledger.find_node("d/n/a").unwrap();
         while ledger.reserve(node, 10, Time(START)).is_ok() {
             used += 10;
         }
@@ -283,18 +286,18 @@
 fn a_refusal_says_when_there_is_room() {
     let limits = [10_000, 1_000, 1_000, 1_000, 1_000, 1_000];
     let mut ledger = Ledger::new(&tree(&limits, 1), Time(START)).unwrap();
-    let node = ledger.node("d/n/a").unwrap();
+    let node = ledger.find_node("d/n/a").unwrap();
     let whole = ledger.reserve(node, 400, Time(START)).unwrap();
     // only reservations stand in the way: soon
     let short = ledger.reserve(node, 300, Time(START)).unwrap_err();
     assert!(
-        short.retry_in.is_some_and(|d| d <= Dur(1_000_000)),
+        short.retry_after.is_some_and(|d| d <= Dur(1_000_000)),
         "{short:?}"
     );
     ledger.settle(whole, 400, Time(START));
     // the drip of 501 lets 200 more in once 99 of them are refilled, and not a moment earlier
     let short = ledger.reserve(node, 200, Time(START)).unwrap_err();
-    let wait = short.retry_in.unwrap();
+    let wait = short.retry_after.unwrap();
     assert!(ledger.reserve(node, 200, Time(START + wait.0 - 1)).is_err());
     assert!(ledger.reserve(node, 200, Time(START + wait.0)).is_ok());
     // what is larger than the whole limit never fits, and says so by naming no time
@@ -302,7 +305,7 @@
         ledger
             .reserve(node, 5_000, Time(START))
             .unwrap_err()
-            .retry_in,
+            .retry_after,
         None
     );
 }
@@ -310,35 +313,40 @@
 #[test]
 fn a_reload_keeps_what_is_spent_and_ends_what_is_gone() {
     let mut ledger = Ledger::new(&tree(&[1_000; 6], 1), Time(START)).unwrap();
-    let node = ledger.node("d/n/a/p").unwrap();
+    let node = ledger.find_node("d/n/a/p").unwrap();
     let hold = ledger.reserve(node, 200, Time(START)).unwrap();
     let used = ledger.reserve(node, 200, Time(START)).unwrap();
     ledger.settle(used, 200, Time(START));
-    let smaller = Tree {
+    let smaller = BudgetTree {
         nodes: tree(&[300; 6], 1).nodes[..3].to_vec(),
         instances: 1,
     };
     ledger.reload(&smaller, Time(START)).unwrap();
     // the class is gone for new requests; its reservation still counts above it
-    let root = ledger.node("d").unwrap();
-    let reports = ledger.reports(root, Time(START));
+    let root = ledger.find_node("d").unwrap();
+    let reports = ledger.subtree_usage(root, Time(START));
     assert_eq!(reports.len(), 3);
     assert_eq!(
         (reports[0].reserved, reports[0].budgets[0].1.spent),
         (200, 200)
     );
-    let school = ledger.node("d/n").unwrap();
+    let school = ledger.find_node("d/n").unwrap();
     assert!(
         ledger.reserve(school, 1, Time(START)).is_err(),
         "lowered below what is taken: it refuses"
     );
     ledger.settle(hold, 50, Time(START));
-    assert_eq!(ledger.node("d/n/a/p"), None);
-    assert_eq!(ledger.reports(root, Time(START))[0].budgets[0].1.spent, 250);
+    assert_eq!(ledger.find_node("d/n/a/p"), None);
+    assert_eq!(
+        ledger.subtree_usage(root, Time(START))[0].budgets[0]
+            .1
+            .spent,
+        250
+    );
     assert!(ledger.reserve(school, 10, Time(START + HOUR)).is_ok());
     // a bad tree changes nothing
-    let bad = Tree {
-        nodes: vec![Node {
+    let bad = BudgetTree {
+        nodes: vec![BudgetNode {
             path: "x/y".into(),
             budgets: Vec::new(),
         }],
@@ -348,26 +356,26 @@
         ledger
             .reload(&bad, Time(START))
             .unwrap_err()
-            .what
+            .problem
             .contains("stands under no node")
     );
-    assert!(ledger.node("d/n").is_some());
+    assert!(ledger.find_node("d/n").is_some());
 }
 
 #[test]
 fn a_snapshot_comes_back() {
     let tree = tree(&[1_000; 6], 1);
     let mut ledger = Ledger::new(&tree, Time(START)).unwrap();
-    let node = ledger.node("d/n/a").unwrap();
+    let node = ledger.find_node("d/n/a").unwrap();
     let hold = ledger.reserve(node, 300, Time(START)).unwrap();
     ledger.settle(hold, 300, Time(START));
     let text = serde_json::to_string(&ledger.snapshot(Time(START))).unwrap();
     let mut again = Ledger::new(&tree, Time(START + 1)).unwrap();
     again.restore(&serde_json::from_str::<Vec<_>>(&text).unwrap());
     let spent = |ledger: &mut Ledger, at: u64| {
-        let root = ledger.node("d").unwrap();
+        let root = ledger.find_node("d").unwrap();
         ledger
-            .reports(root, Time(at))
+            .subtree_usage(root, Time(at))
             .iter()
             .map(|r| r.budgets[0].1.spent)
             .collect::<Vec<_>>()
