--- a/src/spend/moment.rs
+++ b/src/spend/clock_reading.rs
@@ -5,7 +5,7 @@
 /// Both clocks as they read at one moment. Calendar periods go by the wall clock, which may be
 /// stepped; refills are spans of real time and go by the monotonic one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moment {
+pub struct ClockReading {
     /// A clock that is never stepped.
     pub monotonic: Timestamp,
     /// Unix time, as the machine's clock has it.
@@ -13,9 +13,9 @@
 }
 
 /// A moment at which no clock has been stepped.
-impl From<Timestamp> for Moment {
-    fn from(time: Timestamp) -> Moment {
-        Moment {
+impl From<Timestamp> for ClockReading {
+    fn from(time: Timestamp) -> ClockReading {
+        ClockReading {
             monotonic: time,
             wall: time,
         }
