--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -6,7 +6,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use jiff::tz::TimeZone;
-use stilespan::interface::{ReplicaId, Span, State, Timestamp};
+use stilespan::interface::{EndpointState, ReplicaId, Span, Timestamp};
 use stilespan::ops::metrics::Metrics;
 use stilespan::routing::{
     Catalog, ChatQuery, FirstTokenEstimates, ModelInventory, ModelNumbers, ModelSpec, Route,
@@ -121,7 +121,7 @@
                 .collect();
             inventory.set_listed(
                 ReplicaId(k as u64),
-                State::InService,
+                EndpointState::InService,
                 Timestamp::ZERO,
                 Some(&names),
             );
--- a/benches/pools.rs
+++ b/benches/pools.rs
@@ -40,31 +40,34 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim: Span::from_millis(400),
-        pace: Span::from_millis(60),
+        first_token_objective: Span::from_millis(400),
+        token_interval_objective: Span::from_millis(60),
         deadline: Span::from_millis(1_500),
         ..Class::default()
     };
     Settings {
         classes: vec![class],
         max_attempts: 3,
-        cancel: true,
+        cancellation: true,
         ..Settings::default()
     }
 }
 
 /// Hosts 0 to 3 hold model 1 alone, 4 to 7 both.
-fn entries(model: Option<u32>) -> Vec<Entry> {
+fn entries(model: Option<u32>) -> Vec<ReplicaEntry> {
     let all = (0..HOSTS).filter(|h| model != Some(2) || *h >= HOSTS / 2);
     let models = |h: u64| if h < HOSTS / 2 { vec![1] } else { vec![1, 2] };
-    let of = |h: u64| Entry {
+    let of = |h: u64| ReplicaEntry {
         replica: ReplicaId(h),
-        rating: 1.0,
+        weight: 1.0,
         models: match model {
-            None => Models::only(models(h).into_iter().map(|m| (m, Span::ZERO))),
-            Some(_) => Models::default(),
+            None => ServedModels::only(models(h).into_iter().map(|model| ServedModel {
+                model,
+                load_time: Span::ZERO,
+            })),
+            Some(_) => ServedModels::default(),
         },
-        ..Entry::default()
+        ..ReplicaEntry::default()
     };
     all.map(of).collect()
 }
@@ -83,8 +86,8 @@
 /// Plays a minute of arrivals; `pools`: a balancer a model, else one with eligibility.
 fn play(pools: bool, load: f64, seed: u64) -> Metrics {
     let mut rng = Rng(seed);
-    let list = |entries: Vec<Entry>| Event::Members {
-        kind: ListKind::Complete,
+    let list = |entries: Vec<ReplicaEntry>| Event::EndpointsUpdated {
+        kind: EndpointListKind::Complete,
         entries: entries.into(),
     };
     let mut balancers: Vec<(Balancer, Vec<Event>)> = match pools {
@@ -120,9 +123,9 @@
             asked.insert(id, (now, model, prompt));
             let arrival = Arrival {
                 request: RequestId(id),
-                prompt,
-                cap: 50,
-                valid_until,
+                prompt_tokens: prompt,
+                max_output_tokens: 50,
+                expires_at: valid_until,
                 ..Arrival::default()
             };
             let (at, arrival) = if pools {
@@ -130,7 +133,7 @@
             } else {
                 (0, Arrival { model, ..arrival })
             };
-            balancers[at].1.push(Event::Request(arrival));
+            balancers[at].1.push(Event::RequestReceived(arrival));
             figures.asked += 1;
             // a prompt token takes 100 us on a host, so the fleet reads 80,000 a second
             due += -(1.0 - rng.next()).ln() * 600.0 * 100.0 / HOSTS as f64 / load;
@@ -139,12 +142,12 @@
         while later.last().is_some_and(|l| l.0 <= now) {
             let (when, at, next) = later.pop().unwrap();
             match next {
-                Next::First(id, took) => {
+                Next::First(id, elapsed) => {
                     let request = RequestId(id);
-                    balancers[at].1.push(Event::First {
+                    balancers[at].1.push(Event::FirstToken {
                         request,
-                        trial: 0,
-                        took: Span::from_micros(took),
+                        attempt: 0,
+                        elapsed: Span::from_micros(elapsed),
                     });
                 }
                 Next::End {
@@ -178,17 +181,20 @@
                         continue;
                     }
                     figures.good += u32::from(in_time && end - first <= 2 * DECODE);
-                    let (request, outcome, took) =
-                        (RequestId(id), Outcome::Ok, Span::from_micros(end - sent));
-                    let ended = Event::Ended {
+                    let (request, outcome, elapsed) = (
+                        RequestId(id),
+                        Outcome::Completed,
+                        Span::from_micros(end - sent),
+                    );
+                    let ended = Event::AttemptEnded(AttemptEnded {
                         request,
-                        trial: 0,
+                        attempt: 0,
                         outcome,
-                        took,
-                        kept: None,
-                        closed: true,
-                        report: None,
-                    };
+                        elapsed,
+                        cached_tokens: None,
+                        request_complete: true,
+                        load_report: None,
+                    });
                     balancers[at].1.push(ended);
                 }
             }
@@ -202,7 +208,7 @@
             events.clear();
             for action in actions {
                 match action {
-                    Action::Send {
+                    Action::StartAttempt {
                         request, replica, ..
                     } => {
                         let (since, _, prompt) = asked[&request.0];
@@ -232,7 +238,7 @@
                             },
                         ));
                     }
-                    Action::Refuse { .. } | Action::Fail { .. } => figures.refused += 1,
+                    Action::Reject { .. } | Action::Fail { .. } => figures.refused += 1,
                     _ => {}
                 }
             }
--- a/src/batch/line.rs
+++ b/src/batch/line.rs
@@ -10,8 +10,8 @@
 use crate::api::ApiError;
 use crate::core::{Payload, Request, RequestAttributes};
 use crate::edge::chat::Chat;
+use crate::interface::stable_hash;
 use crate::net::upstream::payload;
-use crate::wire::replica_id;
 
 /// A `custom_id` holds so much at most.
 const MAX_ID: usize = 512;
@@ -117,7 +117,7 @@
         .first()
         .filter(|m| matches!(m["role"].as_str(), Some("system" | "developer")));
     let prefix = opening.map(text_of).filter(|t| !t.is_empty());
-    let prefix = prefix.map(|t| (replica_id(&t).0, tokens(t.chars().count())));
+    let prefix = prefix.map(|t| (stable_hash(&t), tokens(t.chars().count())));
     let cap = ["max_tokens", "max_completion_tokens"]
         .iter()
         .find_map(|k| body.get(*k)?.as_u64());
--- a/src/batch/live.rs
+++ b/src/batch/live.rs
@@ -14,6 +14,7 @@
 use crate::edge::Edge;
 use crate::edge::chat::Chat;
 use crate::edge::service::{Part, Serving, Work};
+use crate::interface::stable_hash;
 use crate::net::http::{Body, Head, HttpError, LAST_CHUNK, put_chunk};
 use crate::request_ids::{RequestIds, is_request_id};
 
@@ -81,7 +82,7 @@
             }
         };
         if let Some(session) = head.get("x-object") {
-            chat.session = Some(crate::wire::replica_id(session).0);
+            chat.session = Some(stable_hash(session));
         }
         let stream = chat.stream;
         let work = Work {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use crate::interface::Settings;
+use crate::interface::{Settings, stable_hash};
 use crate::net::discovery::endpoint_list::EndpointList;
 use crate::wire::parse_settings;
 
@@ -130,7 +130,7 @@
 
 /// A seed of 16 hexadecimal digits; any other text is hashed.
 fn parse_seed(text: &str) -> u64 {
-    u64::from_str_radix(text, 16).unwrap_or_else(|_| crate::wire::replica_id(text).0)
+    u64::from_str_radix(text, 16).unwrap_or_else(|_| stable_hash(text))
 }
 
 /// Reads a text file of the configuration.
--- a/src/core/actor/actions.rs
+++ b/src/core/actor/actions.rs
@@ -9,24 +9,26 @@
 use crate::core::attempt_history::AttemptHistory;
 use crate::core::request_state::RequestState;
 use crate::core::{Answer, AttemptId, DiscoveryCommand, UpstreamCommand};
-use crate::interface::{Action, Event, Outcome, ReplicaId, RequestId, Span, Timestamp};
+use crate::interface::{
+    Action, Event, HealthCheckEnded, Outcome, ReplicaId, RequestId, Span, Timestamp,
+};
 
 impl Core {
     pub(super) fn carry_out(&mut self, action: Action, at: Instant, now: Timestamp) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 request,
                 replica,
-                give_up,
-            } => self.start_attempt(request, replica, give_up, at, now),
-            Action::Cancel {
-                request,
-                trial: attempt,
-            } => {
+                timeout,
+            } => self.start_attempt(request, replica, timeout, at, now),
+            Action::CancelAttempt { request, attempt } => {
                 self.cancel_attempt(AttemptId { request, attempt }, Outcome::Cancelled, at);
             }
-            Action::Refuse { request, retry_in } => {
-                let retry_after = retry_in.map(Duration::from);
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
+                let retry_after = retry_after.map(Duration::from);
                 self.answer(request, |history| Answer::Rejected {
                     retry_after,
                     forwarded: history.forwarded(),
@@ -37,11 +39,13 @@
                 forwarded: history.forwarded(),
                 attempts: history.attempts(),
             }),
-            Action::Probe { replica } => self.check_health(replica),
-            Action::Watch => {
+            Action::CheckHealth { replica } => self.check_health(replica),
+            Action::WatchEndpoints => {
                 let _ = self.discovery.try_send(DiscoveryCommand::Watch);
             }
-            Action::Timer { at, mark } => self.timers.set(at, Timer::DecisionModule { mark }),
+            Action::SetTimer { at, timer_id } => {
+                self.timers.set(at, Timer::DecisionModule { timer_id });
+            }
         }
     }
 
@@ -72,12 +76,12 @@
     /// Starts a health check; one that can't be started has failed.
     fn check_health(&mut self, replica: ReplicaId) {
         if !self.command_upstream(replica, UpstreamCommand::CheckHealth) {
-            self.events.push(Event::Probed {
+            self.events.push(Event::HealthCheckEnded(HealthCheckEnded {
                 replica,
                 outcome: Outcome::ConnectFailed,
-                took: Span::ZERO,
-                report: None,
-            });
+                elapsed: Span::ZERO,
+                load_report: None,
+            }));
         }
     }
 }
--- a/src/core/actor/attempts.rs
+++ b/src/core/actor/attempts.rs
@@ -7,19 +7,19 @@
 use tracing::trace;
 
 use super::timers::Timer;
-use super::{CLIENT_ANSWER_MARGIN, Core, earlier_by, micros};
+use super::{CLIENT_ANSWER_MARGIN, Core};
 use crate::core::in_flight_attempt::{CancelGuard, InFlightAttempt};
 use crate::core::request_state::{RequestState, StateName};
 use crate::core::{Answer, Attempt, AttemptGate, AttemptId, AttemptResult, Chunk, UpstreamCommand};
-use crate::interface::{Event, Outcome, ReplicaId, RequestId, Span, Timestamp};
+use crate::interface::{AttemptEnded, Event, Outcome, ReplicaId, RequestId, Span, Timestamp};
 
 impl Core {
-    /// Orders an attempt at a replica. `give_up`: how long to wait for its first token at most.
+    /// Orders an attempt at a replica. `timeout`: how long to wait for its first token at most.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
         replica: ReplicaId,
-        give_up: Option<Span>,
+        timeout: Option<Span>,
         at: Instant,
         now: Timestamp,
     ) {
@@ -29,8 +29,8 @@
         let made_before = in_flight.history.total_attempts();
         let number = in_flight.history.next_attempt();
         let (cancel_guard, cancelled) = CancelGuard::new();
-        let answer_by = earlier_by(in_flight.expires_at, CLIENT_ANSWER_MARGIN);
-        let until = give_up.map_or(answer_by, |span| (now + span).min(answer_by));
+        let answer_by = in_flight.expires_at - CLIENT_ANSWER_MARGIN;
+        let until = timeout.map_or(answer_by, |span| (now + span).min(answer_by));
         let latest_start = in_flight
             .history
             .latest_start(at, self.attempt_start_timeout);
@@ -48,7 +48,7 @@
             || made_before >= self.max_attempts
             || until <= now;
         if obsolete {
-            self.record_end(request, attempt, Outcome::Moot.into(), at);
+            self.record_end(request, attempt, Outcome::NeverSent.into(), at);
             return;
         }
         let id = AttemptId {
@@ -96,7 +96,7 @@
         let RequestState::Streaming { attempt } = &in_flight.state else {
             return;
         };
-        let took = micros(at.saturating_duration_since(attempt.ordered_at));
+        let elapsed = Span::from(at.saturating_duration_since(attempt.ordered_at));
         if in_flight.interactive {
             self.load
                 .record_first_token(at.saturating_duration_since(in_flight.received_at));
@@ -107,12 +107,12 @@
             id.request.0,
             id.attempt,
             attempt.replica.0,
-            took.as_micros()
+            elapsed.as_micros()
         );
-        self.events.push(Event::First {
+        self.events.push(Event::FirstToken {
             request: id.request,
-            trial: id.attempt,
-            took,
+            attempt: id.attempt,
+            elapsed,
         });
     }
 
@@ -184,22 +184,22 @@
         in_flight
             .history
             .record_outcome(outcome, attempt.ordered_at);
-        let took = micros(at.saturating_duration_since(attempt.ordered_at));
+        let elapsed = Span::from(at.saturating_duration_since(attempt.ordered_at));
         trace!(
             "request {} attempt {} at {:x}: {outcome:?} after {} us",
             request.0,
             attempt.number,
             attempt.replica.0,
-            took.as_micros()
+            elapsed.as_micros()
         );
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded(AttemptEnded {
             request,
-            trial: attempt.number,
+            attempt: attempt.number,
             outcome,
-            took,
-            kept: result.cached_tokens,
-            closed: in_flight.state.is_closed(),
-            report: result.load_report,
-        });
+            elapsed,
+            cached_tokens: result.cached_tokens,
+            request_complete: in_flight.state.is_closed(),
+            load_report: result.load_report,
+        }));
     }
 }
--- a/src/core/actor/endpoints.rs
+++ b/src/core/actor/endpoints.rs
@@ -10,7 +10,9 @@
 
 use super::Core;
 use crate::core::{Endpoint, EndpointsUpdate, UpstreamCommand};
-use crate::interface::{Entry, Event, ListKind, ReplicaId, State, Timestamp};
+use crate::interface::{
+    EndpointListKind, EndpointState, Event, ReplicaEntry, ReplicaId, Timestamp,
+};
 
 /// The upstream of an endpoint.
 pub(super) struct UpstreamHandle {
@@ -35,10 +37,10 @@
         let entries = update.endpoints.iter_mut().map(|e| &mut e.entry);
         self.exclusions.apply(kind, entries, now);
         self.fleet_published_at = None;
-        if matches!(kind, ListKind::Complete | ListKind::Error) {
+        if matches!(kind, EndpointListKind::Complete | EndpointListKind::Error) {
             self.stalls.endpoints_confirmed();
         }
-        let complete = !matches!(kind, ListKind::Partial | ListKind::Error);
+        let complete = !matches!(kind, EndpointListKind::Partial | EndpointListKind::Error);
         if complete {
             self.load.set_ready();
             // An upstream whose command channel is dropped finishes the attempts that it has.
@@ -48,8 +50,8 @@
         for endpoint in &update.endpoints {
             self.update_upstream(endpoint);
         }
-        let entries: Arc<[Entry]> = update.endpoints.into_iter().map(|e| e.entry).collect();
-        self.events.push(Event::Members {
+        let entries: Arc<[ReplicaEntry]> = update.endpoints.into_iter().map(|e| e.entry).collect();
+        self.events.push(Event::EndpointsUpdated {
             kind,
             entries: entries.clone(),
         });
@@ -59,13 +61,13 @@
     /// Cancels attempts that wait for a connection to a model server which no longer takes
     /// requests. Connections may take longer than the drain bound, so such an attempt could start
     /// past it.
-    fn cancel_unstarted_at_unavailable(&mut self, entries: &[Entry], complete: bool) {
-        let states: FxHashMap<ReplicaId, State> = entries
+    fn cancel_unstarted_at_unavailable(&mut self, entries: &[ReplicaEntry], complete: bool) {
+        let states: FxHashMap<ReplicaId, EndpointState> = entries
             .iter()
             .map(|entry| (entry.replica, entry.state))
             .collect();
         let in_service = |replica: ReplicaId| match states.get(&replica) {
-            Some(state) => *state == State::InService,
+            Some(state) => *state == EndpointState::InService,
             None => !complete,
         };
         self.cancel_unstarted(|replica| !in_service(replica), Instant::now());
@@ -75,11 +77,11 @@
     /// is gone.
     fn update_upstream(&mut self, endpoint: &Endpoint) {
         let replica = endpoint.entry.replica;
-        if endpoint.entry.state == State::Terminated {
+        if endpoint.entry.state == EndpointState::Removed {
             self.upstreams.remove(&replica);
             return;
         }
-        let (address, started) = (endpoint.address.clone(), endpoint.entry.started);
+        let (address, started) = (endpoint.address.clone(), endpoint.entry.started_at);
         // After a restart the idle connections lead to the former process, which may have ended
         // without closing them.
         let unchanged =
--- a/src/core/actor/maintenance.rs
+++ b/src/core/actor/maintenance.rs
@@ -8,7 +8,7 @@
 
 use super::Core;
 use crate::core::{MaintenanceAction, MaintenanceCommand};
-use crate::interface::{Event, ListKind};
+use crate::interface::{EndpointListKind, Event};
 use crate::ops::exclusions::Exclusion;
 
 /// The reply to a command, which is sent after the decision module has seen its effect.
@@ -45,8 +45,8 @@
         };
         info!("{name}: {done}");
         if let Some(entry) = entry {
-            self.events.push(Event::Members {
-                kind: ListKind::Partial,
+            self.events.push(Event::EndpointsUpdated {
+                kind: EndpointListKind::Partial,
                 entries: Arc::new([entry]),
             });
         }
--- a/src/core/actor/mod.rs
+++ b/src/core/actor/mod.rs
@@ -25,7 +25,7 @@
     Message,
 };
 use crate::Balancer;
-use crate::interface::{Action, Class, Effect, Event, ReplicaId, RequestId, Span, Timestamp};
+use crate::interface::{Action, Class, Event, Idempotency, ReplicaId, RequestId, Span};
 use crate::ops::exclusions::Exclusions;
 use crate::ops::metrics::Metrics;
 use endpoints::UpstreamHandle;
@@ -43,19 +43,9 @@
 /// The most operators' commands that wait for the core.
 const MAINTENANCE_MAILBOX_CAPACITY: usize = 16;
 
-/// A duration as the decision module has it.
-fn micros(duration: Duration) -> Span {
-    Span::from(duration)
-}
-
-/// The time by which something must be done that is due this long before another.
-fn earlier_by(time: Timestamp, margin: Span) -> Timestamp {
-    Timestamp::from_micros(time.as_micros().saturating_sub(margin.as_micros()))
-}
-
 /// How long retries of a class's requests are allowed, where that is limited.
 fn retry_window(class: &Class) -> Option<Duration> {
-    (class.effect == Effect::Keyed).then(|| Duration::from(class.window))
+    (class.idempotency == Idempotency::Keyed).then(|| Duration::from(class.deduplication_window))
 }
 
 /// The core's actor.
@@ -99,7 +89,7 @@
         let (maintenance_to, maintenance) = mpsc::channel(MAINTENANCE_MAILBOX_CAPACITY);
         let settings = options.settings;
         let core = Core {
-            step_interval: Duration::from(settings.period),
+            step_interval: Duration::from(settings.step_interval),
             max_attempts: settings.max_attempts,
             max_requests_in_flight: options.max_requests_in_flight,
             attempt_start_timeout: options.attempt_start_timeout,
--- a/src/core/actor/requests.rs
+++ b/src/core/actor/requests.rs
@@ -6,12 +6,12 @@
 use tracing::trace;
 
 use super::timers::Timer;
-use super::{CLIENT_ANSWER_MARGIN, Core, LAST_ANSWER_MARGIN, earlier_by, micros};
+use super::{CLIENT_ANSWER_MARGIN, Core, LAST_ANSWER_MARGIN};
 use crate::core::attempt_history::AttemptHistory;
 use crate::core::in_flight_request::InFlightRequest;
 use crate::core::request_state::RequestState;
 use crate::core::{Answer, Request, RequestAttributes};
-use crate::interface::{Arrival, Event, Outcome, RequestId, Timestamp};
+use crate::interface::{Arrival, Event, Outcome, RequestId, Span, Timestamp};
 
 /// A request as the decision module gets to know it.
 fn arrival(request: RequestId, attributes: &RequestAttributes, expires_at: Timestamp) -> Arrival {
@@ -21,15 +21,15 @@
         tenant: attributes.tenant,
         session: attributes.session,
         prefix: attributes.prefix,
-        prompt: attributes.prompt_tokens,
-        shared: attributes.shared_prefix_tokens,
-        cap: attributes.max_output_tokens,
-        hint: micros(attributes.expected_work),
-        valid_until: earlier_by(expires_at, CLIENT_ANSWER_MARGIN),
-        repeat: attributes.client_retry,
+        prompt_tokens: attributes.prompt_tokens,
+        shared_prefix_tokens: attributes.shared_prefix_tokens,
+        max_output_tokens: attributes.max_output_tokens,
+        expected_work: Span::from(attributes.expected_work),
+        expires_at: expires_at - CLIENT_ANSWER_MARGIN,
+        is_retry: attributes.client_retry,
         resumed: attributes.resumed,
         model: attributes.model,
-        spent: attributes.prior_attempts,
+        prior_attempts: attributes.prior_attempts,
     }
 }
 
@@ -60,7 +60,8 @@
             "request {}: class {}, {} tokens, {:?}",
             id.0, attributes.class, attributes.prompt_tokens, attributes.timeout
         );
-        let expires_at = self.clock.time_at(attributes.received_at) + micros(attributes.timeout);
+        let expires_at =
+            self.clock.time_at(attributes.received_at) + Span::from(attributes.timeout);
         let retry_window = self
             .retry_windows
             .get(attributes.class as usize)
@@ -78,12 +79,12 @@
         if attributes.interactive {
             self.load.request_opened();
         }
-        let expiry = earlier_by(expires_at, LAST_ANSWER_MARGIN);
+        let expiry = expires_at - LAST_ANSWER_MARGIN;
         self.timers
             .set(expiry, Timer::RequestExpiry { request: id });
         let _ = id_to.send(id);
         self.events
-            .push(Event::Request(arrival(id, &attributes, expires_at)));
+            .push(Event::RequestReceived(arrival(id, &attributes, expires_at)));
         in_flight.transition(RequestState::enqueue);
         self.requests.insert(id, in_flight);
     }
@@ -106,7 +107,7 @@
         };
         trace!("request {}: its client has disconnected", request.0);
         let attempt = in_flight.transition(RequestState::abandon).flatten();
-        self.events.push(Event::Gone { request });
+        self.events.push(Event::ClientDisconnected { request });
         if let Some(attempt) = attempt {
             self.record_end(request, attempt, Outcome::Cancelled.into(), Instant::now());
         }
--- a/src/core/actor/run.rs
+++ b/src/core/actor/run.rs
@@ -4,17 +4,17 @@
 
 use tracing::{info, trace};
 
+use super::Core;
 use super::timers::Timer;
-use super::{Core, micros};
 use crate::core::{DiscoveryCommand, Message};
-use crate::interface::Event;
+use crate::interface::{Event, Span};
 
 /// The most messages that are handled before a step, so that a flood can't delay the step.
 const MAX_MESSAGES_PER_STEP: usize = 512;
 /// How often the metrics of the fleet are published while there are events.
 const FLEET_METRICS_INTERVAL: Duration = Duration::from_millis(100);
-/// The mark of a timer that only brings about a step; the decision module gives no such mark.
-const STEP_ONLY_MARK: u64 = u64::MAX;
+/// The id of a timer that only causes a step; the decision module gives no timer this id.
+const STEP_ONLY_TIMER_ID: u64 = u64::MAX;
 
 impl Core {
     /// Runs until all senders of messages are gone.
@@ -78,24 +78,15 @@
             Message::EndpointsUpdated(update) => self.update_endpoints(update),
             Message::FirstToken { id, at, chunks } => self.first_token(id, at, chunks),
             Message::AttemptEnded { id, at, result } => self.end_attempt(id, result, at),
-            Message::HealthChecked {
-                replica,
-                outcome,
-                took,
-                report,
-            } => {
-                let took = micros(took);
+            Message::HealthCheckEnded(end) => {
                 trace!(
-                    "health check of {:x}: {outcome:?} after {} us, {report:?}",
-                    replica.0,
-                    took.as_micros()
+                    "health check of {:x}: {:?} after {} us, {:?}",
+                    end.replica.0,
+                    end.outcome,
+                    end.elapsed.as_micros(),
+                    end.load_report
                 );
-                self.events.push(Event::Probed {
-                    replica,
-                    outcome,
-                    took,
-                    report,
-                });
+                self.events.push(Event::HealthCheckEnded(end));
             }
         }
     }
@@ -130,10 +121,10 @@
         if !self.events.is_empty() {
             // The decision module gets what came of its actions, such as a failed send, with the
             // next step, which must not wait for another message.
-            let mark = STEP_ONLY_MARK;
+            let timer_id = STEP_ONLY_TIMER_ID;
             self.timers.set(
-                now + micros(self.step_interval),
-                Timer::DecisionModule { mark },
+                now + Span::from(self.step_interval),
+                Timer::DecisionModule { timer_id },
             );
         }
     }
--- a/src/core/actor/timers.rs
+++ b/src/core/actor/timers.rs
@@ -14,10 +14,10 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A timer of the decision module, with the mark that it gave.
+    /// A timer of the decision module, with the id that it gave.
     DecisionModule {
-        /// The mark.
-        mark: u64,
+        /// Its id.
+        timer_id: u64,
     },
     /// The time-out of an attempt that has not begun to answer.
     AttemptTimeout {
@@ -60,7 +60,9 @@
     pub(super) fn fire_timers(&mut self, now: Timestamp) {
         while let Some(timer) = self.timers.pop_expired(now) {
             match timer {
-                Timer::DecisionModule { mark } => self.events.push(Event::Timer { mark }),
+                Timer::DecisionModule { timer_id } => {
+                    self.events.push(Event::TimerFired { timer_id });
+                }
                 Timer::AttemptTimeout { request, attempt } => {
                     let id = AttemptId { request, attempt };
                     self.cancel_attempt(id, Outcome::Timeout, Instant::now());
--- a/src/core/actor/timers/tests.rs
+++ b/src/core/actor/timers/tests.rs
@@ -5,28 +5,36 @@
 #[test]
 fn timers_fire_in_order() {
     let request = RequestId(1);
-    let (expiry, mark) = (
+    let (expiry, decision_timer) = (
         Timer::RequestExpiry { request },
-        Timer::DecisionModule { mark: 7 },
+        Timer::DecisionModule { timer_id: 7 },
     );
     let timeout = Timer::AttemptTimeout {
         request,
         attempt: 0,
     };
     let mut timers = TimerQueue::default();
-    for (at, timer) in [(20, expiry), (20, timeout), (30, mark), (20, mark)] {
+    for (at, timer) in [
+        (20, expiry),
+        (20, timeout),
+        (30, decision_timer),
+        (20, decision_timer),
+    ] {
         timers.set(Timestamp::from_micros(at), timer);
     }
     assert_eq!(timers.next_at(), Some(Timestamp::from_micros(20)));
     assert_eq!(timers.pop_expired(Timestamp::from_micros(19)), None);
-    for expected in [mark, timeout, expiry] {
+    for expected in [decision_timer, timeout, expiry] {
         assert_eq!(
             timers.pop_expired(Timestamp::from_micros(20)),
             Some(expected)
         );
     }
     assert_eq!(timers.pop_expired(Timestamp::from_micros(29)), None);
-    assert_eq!(timers.pop_expired(Timestamp::from_micros(40)), Some(mark));
+    assert_eq!(
+        timers.pop_expired(Timestamp::from_micros(40)),
+        Some(decision_timer)
+    );
     assert_eq!(
         (
             timers.next_at(),
--- a/src/core/attempt_gate/tests.rs
+++ b/src/core/attempt_gate/tests.rs
@@ -8,8 +8,8 @@
 use crate::core::Client;
 
 proptest! {
-    /// In any order of calls, the attempt starts at most once and in time, and is never both started
-    /// and cancelled.
+    /// In any order of calls, the attempt starts at most once and in time, and is never both
+    /// started and cancelled.
     #[test]
     fn gate_starts_or_cancels_once(
         latest_ms in 0u64..10,
--- a/src/core/attempt_history.rs
+++ b/src/core/attempt_history.rs
@@ -66,7 +66,7 @@
 
     /// Records the outcome of an attempt that was ordered at this time.
     pub fn record_outcome(&mut self, outcome: Outcome, ordered_at: Instant) {
-        self.forwarded |= !matches!(outcome, Outcome::ConnectFailed | Outcome::Moot);
+        self.forwarded |= !matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent);
         if !outcome.never_ran() {
             self.first_possible_run.get_or_insert(ordered_at);
         }
--- a/src/core/attempt_history/tests.rs
+++ b/src/core/attempt_history/tests.rs
@@ -8,10 +8,10 @@
 /// The retry window counts from the first attempt that may have run.
 #[rstest]
 #[case::no_attempt_yet(&[], 350)]
-#[case::first_may_have_run(&[(0, Outcome::Reset)], 300)]
-#[case::later_ones_change_nothing(&[(0, Outcome::Reset), (200, Outcome::Timeout)], 300)]
-#[case::never_ran(&[(0, Outcome::ConnectFailed), (10, Outcome::Full), (20, Outcome::Moot)], 350)]
-#[case::second_may_have_run(&[(0, Outcome::Full), (80, Outcome::Error)], 350)]
+#[case::first_may_have_run(&[(0, Outcome::ConnectionReset)], 300)]
+#[case::later_ones_change_nothing(&[(0, Outcome::ConnectionReset), (200, Outcome::Timeout)], 300)]
+#[case::never_ran(&[(0, Outcome::ConnectFailed), (10, Outcome::Rejected), (20, Outcome::NeverSent)], 350)]
+#[case::second_may_have_run(&[(0, Outcome::Rejected), (80, Outcome::Error)], 350)]
 fn retry_window_bounds_start(#[case] outcomes: &[(u64, Outcome)], #[case] latest_ms: u64) {
     let start = Instant::now();
     let mut history = AttemptHistory::new(0, Some(WINDOW));
@@ -29,7 +29,7 @@
 fn no_window_leaves_start_timeout() {
     let now = Instant::now();
     let mut history = AttemptHistory::new(0, None);
-    history.record_outcome(Outcome::Reset, now);
+    history.record_outcome(Outcome::ConnectionReset, now);
     assert_eq!(
         history.latest_start(now, START_TIMEOUT),
         now + START_TIMEOUT
@@ -37,11 +37,11 @@
 }
 
 #[rstest]
-#[case::rejected_by_server(Outcome::Full, true)]
+#[case::rejected_by_server(Outcome::Rejected, true)]
 #[case::timed_out(Outcome::Timeout, true)]
 #[case::cancelled(Outcome::Cancelled, true)]
 #[case::no_connection(Outcome::ConnectFailed, false)]
-#[case::never_sent(Outcome::Moot, false)]
+#[case::never_sent(Outcome::NeverSent, false)]
 fn outcome_says_whether_forwarded(#[case] outcome: Outcome, #[case] forwarded: bool) {
     let mut history = AttemptHistory::default();
     history.record_outcome(outcome, Instant::now());
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -1,5 +1,5 @@
-//! The process's clock, and the machine's wall clock. It owns the one reading of the wall clock that
-//! all times of the process are based on; timers and deadlines are not owned here.
+//! The process's clock, and the machine's wall clock. It owns the one reading of the wall clock
+//! that all times of the process are based on; timers and deadlines are not owned here.
 
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/src/core/endpoints.rs
+++ b/src/core/endpoints.rs
@@ -4,7 +4,7 @@
 use tokio::sync::mpsc;
 
 use super::UpstreamCommand;
-use crate::interface::{Entry, ListKind, ReplicaId};
+use crate::interface::{EndpointListKind, ReplicaEntry, ReplicaId};
 
 /// A model server in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
@@ -14,7 +14,7 @@
     /// Where it listens. Opaque to the core.
     pub address: String,
     /// What the decision module gets to know of it.
-    pub entry: Entry,
+    pub entry: ReplicaEntry,
     /// The models that the list names for it; none where it names none. Opaque to the core.
     pub models: Option<Vec<String>>,
 }
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointsUpdate {
     /// What the endpoints are: all of them, those that changed, or none after a failure.
-    pub kind: ListKind,
+    pub kind: EndpointListKind,
     /// The endpoints.
     pub endpoints: Vec<Endpoint>,
 }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,14 +1,14 @@
 //! The messages between actors: to the core, and from the core to an upstream. Types only.
 
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 use tokio::sync::{mpsc, oneshot};
 
 use super::{
     Answer, AttemptGate, AttemptId, AttemptResult, Chunk, EndpointsUpdate, Payload, Request,
 };
-use crate::interface::{Outcome, ReplicaId, Report, RequestId};
+use crate::interface::{HealthCheckEnded, ReplicaId, RequestId};
 use crate::ops::exclusions::Exclusion;
 
 /// The most messages that wait for the core. A full mailbox makes the senders wait.
@@ -52,16 +52,7 @@
         result: AttemptResult,
     },
     /// A health check has ended.
-    HealthChecked {
-        /// The replica.
-        replica: ReplicaId,
-        /// How it ended.
-        outcome: Outcome,
-        /// How long it took.
-        took: Duration,
-        /// The load report that it brought.
-        report: Option<Report>,
-    },
+    HealthCheckEnded(HealthCheckEnded),
 }
 
 /// A command for an upstream actor.
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 use super::Client;
-use crate::interface::{Outcome, Report, RequestId};
+use crate::interface::{LoadReport, Outcome, RequestId};
 
 /// The most chunks of an answer that are buffered for a slow client. When the buffer is full, the
 /// model server's connection is read no further.
@@ -121,7 +121,7 @@
     /// Prompt tokens that the model server found in its prefix cache, where it reported them.
     pub cached_tokens: Option<u32>,
     /// The model server's load report, where it sent one.
-    pub load_report: Option<Report>,
+    pub load_report: Option<LoadReport>,
 }
 
 impl From<Outcome> for AttemptResult {
--- a/src/core/start_times.rs
+++ b/src/core/start_times.rs
@@ -13,7 +13,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{Entry, ListKind, ReplicaId, Span, State, Timestamp};
+use crate::interface::{EndpointListKind, EndpointState, ReplicaEntry, ReplicaId, Span, Timestamp};
 use crate::lru::LruMap;
 
 /// While the list is watched, a server's start is reported to this process within this time (10 s).
@@ -52,7 +52,8 @@
         }
     }
 
-    /// The earliest start of a server that was not in the list so far; none where that is not known.
+    /// The earliest start of a server that was not in the list so far; none where that is not
+    /// known.
     fn earliest_join(&self) -> Option<Timestamp> {
         self.up_to_date_at.map(|up_to_date_at| {
             Timestamp::from_micros(
@@ -80,18 +81,21 @@
     /// of zero, which means long ago, stays.
     pub(crate) fn correct<'a>(
         &mut self,
-        kind: ListKind,
-        entries: impl Iterator<Item = &'a mut Entry>,
+        kind: EndpointListKind,
+        entries: impl Iterator<Item = &'a mut ReplicaEntry>,
         now: Timestamp,
     ) {
-        if kind == ListKind::Error {
+        if kind == EndpointListKind::Error {
             self.freshness.interrupted = true;
             return;
         }
-        let mut entries: Vec<&mut Entry> = entries.collect();
+        let mut entries: Vec<&mut ReplicaEntry> = entries.collect();
         let earliest = self.earliest(kind, &entries, now);
         let mut changed = entries.is_empty() && !self.listed.is_empty();
-        let complete = matches!(kind, ListKind::Complete | ListKind::Persisted);
+        let complete = matches!(
+            kind,
+            EndpointListKind::Complete | EndpointListKind::Persisted
+        );
         let previous = if complete {
             std::mem::take(&mut self.listed)
         } else {
@@ -106,7 +110,7 @@
         }
         // A change that repeats what is known need not come from discovery, and does not show that
         // the rest of the list is up to date.
-        if kind == ListKind::Complete || (kind == ListKind::Partial && changed) {
+        if kind == EndpointListKind::Complete || (kind == EndpointListKind::Partial && changed) {
             self.freshness.record_update(now);
         }
     }
@@ -115,31 +119,32 @@
     /// at any time.
     fn earliest(
         &mut self,
-        kind: ListKind,
-        entries: &[&mut Entry],
+        kind: EndpointListKind,
+        entries: &[&mut ReplicaEntry],
         now: Timestamp,
     ) -> Option<Timestamp> {
         let bound = self
             .freshness
             .earliest_join()
-            .filter(|_| kind != ListKind::Persisted);
+            .filter(|_| kind != EndpointListKind::Persisted);
         let joins = || {
             entries
                 .iter()
-                .filter(|entry| !entry.started.is_zero() && self.known_start(entry).is_none())
+                .filter(|entry| !entry.started_at.is_zero() && self.known_start(entry).is_none())
         };
         let earlier = |bound: Timestamp| {
             joins()
-                .filter(|entry| self.on_this_clock(entry.started) < bound)
+                .filter(|entry| self.on_this_clock(entry.started_at) < bound)
                 .count()
         };
         // A complete list that is mostly new is the list of another fleet: its servers have not all
         // restarted at once.
-        let is_replaced =
-            |bound: &Timestamp| kind == ListKind::Complete && earlier(*bound) > entries.len() / 2;
+        let is_replaced = |bound: &Timestamp| {
+            kind == EndpointListKind::Complete && earlier(*bound) > entries.len() / 2
+        };
         let bound = bound.filter(|bound| !is_replaced(bound));
         if bound.is_none()
-            && let Some(newest) = joins().map(|entry| entry.started).max()
+            && let Some(newest) = joins().map(|entry| entry.started_at).max()
         {
             self.min_clock_lead = self.min_clock_lead.max(newest - now);
         }
@@ -147,18 +152,18 @@
     }
 
     /// The start known for a server, where the list states the same one again.
-    fn known_start(&self, entry: &Entry) -> Option<Start> {
+    fn known_start(&self, entry: &ReplicaEntry) -> Option<Start> {
         let start = self
             .listed
             .get(&entry.replica)
             .copied()
             .or_else(|| self.removed.get(&entry.replica))?;
-        (start.stated == entry.started).then_some(start)
+        (start.stated == entry.started_at).then_some(start)
     }
 
     /// Whether the entry takes a listed server out of the list.
-    fn is_removal(&self, entry: &Entry) -> bool {
-        entry.state == State::Terminated && self.listed.contains_key(&entry.replica)
+    fn is_removal(&self, entry: &ReplicaEntry) -> bool {
+        entry.state == EndpointState::Removed && self.listed.contains_key(&entry.replica)
     }
 
     /// A stated start by what is known of the platform's clock. Never zero, which means long ago.
@@ -171,24 +176,29 @@
         )
     }
 
-    fn correct_entry(&mut self, entry: &mut Entry, earliest: Option<Timestamp>, now: Timestamp) {
+    fn correct_entry(
+        &mut self,
+        entry: &mut ReplicaEntry,
+        earliest: Option<Timestamp>,
+        now: Timestamp,
+    ) {
         let known = self.known_start(entry);
-        if entry.state == State::Terminated {
+        if entry.state == EndpointState::Removed {
             self.listed.remove(&entry.replica);
             if let Some(start) = known {
-                entry.started = start.corrected;
+                entry.started_at = start.corrected;
                 self.removed.insert(entry.replica, start);
             }
             return;
         }
         let start = known.unwrap_or_else(|| {
-            let stated = entry.started;
+            let stated = entry.started_at;
             Start {
                 stated,
                 corrected: self.corrected(stated, earliest, now),
             }
         });
-        entry.started = start.corrected;
+        entry.started_at = start.corrected;
         self.listed.insert(entry.replica, start);
     }
 
--- a/src/core/start_times/tests.rs
+++ b/src/core/start_times/tests.rs
@@ -11,27 +11,27 @@
     Timestamp::from_micros(BEGIN + seconds * SECOND)
 }
 
-fn entry(id: u64, started: Timestamp) -> Entry {
-    Entry {
+fn entry(id: u64, started: Timestamp) -> ReplicaEntry {
+    ReplicaEntry {
         replica: ReplicaId(id),
-        started,
-        ..Entry::default()
+        started_at: started,
+        ..ReplicaEntry::default()
     }
 }
 
 /// The corrected starts of some entries.
 fn corrected(
     starts: &mut StartTimes,
-    kind: ListKind,
+    kind: EndpointListKind,
     entries: &[(u64, Timestamp)],
     now: Timestamp,
 ) -> Vec<Timestamp> {
-    let mut entries: Vec<Entry> = entries
+    let mut entries: Vec<ReplicaEntry> = entries
         .iter()
         .map(|&(id, started)| entry(id, started))
         .collect();
     starts.correct(kind, entries.iter_mut(), now);
-    entries.iter().map(|entry| entry.started).collect()
+    entries.iter().map(|entry| entry.started_at).collect()
 }
 
 /// Start times after a complete list of three servers that are fully warmed up.
@@ -43,7 +43,7 @@
         (3, Timestamp::from_micros(BEGIN - 8 * HOUR)),
     ];
     assert_eq!(
-        corrected(&mut starts, ListKind::Complete, &list, at(0)),
+        corrected(&mut starts, EndpointListKind::Complete, &list, at(0)),
         list.map(|l| l.1)
     );
     starts
@@ -54,16 +54,31 @@
     let mut starts = warmed_up();
     let stated = at(3_598);
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(4, stated)], at(5)),
+        corrected(
+            &mut starts,
+            EndpointListKind::Partial,
+            &[(4, stated)],
+            at(5)
+        ),
         [at(5)]
     );
     // its age counts from there on, also in a complete list
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(4, stated)], at(30)),
+        corrected(
+            &mut starts,
+            EndpointListKind::Partial,
+            &[(4, stated)],
+            at(30)
+        ),
         [at(5)]
     );
     assert_eq!(
-        corrected(&mut starts, ListKind::Complete, &[(4, stated)], at(60)),
+        corrected(
+            &mut starts,
+            EndpointListKind::Complete,
+            &[(4, stated)],
+            at(60)
+        ),
         [at(5)]
     );
 }
@@ -73,11 +88,21 @@
     let mut starts = warmed_up();
     let stated = Timestamp::from_micros(BEGIN - HOUR);
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(4, stated)], at(5)),
+        corrected(
+            &mut starts,
+            EndpointListKind::Partial,
+            &[(4, stated)],
+            at(5)
+        ),
         [at(5)]
     );
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(4, stated)], at(30)),
+        corrected(
+            &mut starts,
+            EndpointListKind::Partial,
+            &[(4, stated)],
+            at(30)
+        ),
         [at(5)]
     );
 }
@@ -87,12 +112,17 @@
     let mut starts = warmed_up();
     let again = Timestamp::from_micros(BEGIN - HOUR);
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(2, again)], at(5)),
+        corrected(&mut starts, EndpointListKind::Partial, &[(2, again)], at(5)),
         [at(5)]
     );
     let once_more = Timestamp::from_micros(BEGIN - HOUR + 60 * SECOND);
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(2, once_more)], at(65)),
+        corrected(
+            &mut starts,
+            EndpointListKind::Partial,
+            &[(2, once_more)],
+            at(65)
+        ),
         [at(65)]
     );
 }
@@ -100,15 +130,19 @@
 #[test]
 fn returning_server_keeps_its_start() {
     let mut starts = warmed_up();
-    let mut terminated = Entry {
-        state: State::Terminated,
+    let mut terminated = ReplicaEntry {
+        state: EndpointState::Removed,
         ..entry(2, Timestamp::from_micros(BEGIN - 9 * HOUR))
     };
-    starts.correct(ListKind::Partial, std::iter::once(&mut terminated), at(5));
+    starts.correct(
+        EndpointListKind::Partial,
+        std::iter::once(&mut terminated),
+        at(5),
+    );
     // the third leaves by a complete list that doesn't name it
     corrected(
         &mut starts,
-        ListKind::Complete,
+        EndpointListKind::Complete,
         &[(1, Timestamp::ZERO)],
         at(10),
     );
@@ -117,7 +151,7 @@
         (3, Timestamp::from_micros(BEGIN - 8 * HOUR)),
     ];
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &returning, at(60)),
+        corrected(&mut starts, EndpointListKind::Partial, &returning, at(60)),
         returning.map(|b| b.1)
     );
 }
@@ -125,22 +159,32 @@
 #[test]
 fn joins_after_failed_calls_stay() {
     let mut starts = warmed_up();
-    corrected(&mut starts, ListKind::Partial, &[], at(100));
-    corrected(&mut starts, ListKind::Error, &[], at(105));
+    corrected(&mut starts, EndpointListKind::Partial, &[], at(100));
+    corrected(&mut starts, EndpointListKind::Error, &[], at(105));
     let joined = [(4, at(120))];
     assert_eq!(
-        corrected(&mut starts, ListKind::Complete, &joined, at(300)),
+        corrected(&mut starts, EndpointListKind::Complete, &joined, at(300)),
         [at(120)]
     );
     // discovery itself may still be behind
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(5, at(299))], at(325)),
+        corrected(
+            &mut starts,
+            EndpointListKind::Partial,
+            &[(5, at(299))],
+            at(325)
+        ),
         [at(299)]
     );
     // once it has caught up, so old a start can't be right
-    corrected(&mut starts, ListKind::Partial, &[], at(331));
+    corrected(&mut starts, EndpointListKind::Partial, &[], at(331));
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(6, at(319))], at(340)),
+        corrected(
+            &mut starts,
+            EndpointListKind::Partial,
+            &[(6, at(319))],
+            at(340)
+        ),
         [at(340)]
     );
 }
@@ -151,36 +195,42 @@
     let mut starts = StartTimes::default();
     corrected(
         &mut starts,
-        ListKind::Persisted,
+        EndpointListKind::Persisted,
         &[(1, Timestamp::ZERO)],
         at(0),
     );
     let old = Timestamp::from_micros(BEGIN - HOUR);
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(2, old)], at(1)),
+        corrected(&mut starts, EndpointListKind::Partial, &[(2, old)], at(1)),
         [old]
     );
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(3, old)], at(2)),
+        corrected(&mut starts, EndpointListKind::Partial, &[(3, old)], at(2)),
         [at(2)]
     );
 }
 
-/// An update that repeats known entries, as changes of their models do, does not come from discovery.
+/// An update that repeats known entries, as changes of their models do, does not come from
+/// discovery.
 #[test]
 fn repeated_entries_bound_nothing() {
     let mut starts = warmed_up();
     assert_eq!(
         corrected(
             &mut starts,
-            ListKind::Partial,
+            EndpointListKind::Partial,
             &[(1, Timestamp::ZERO)],
             at(100)
         ),
         [Timestamp::ZERO]
     );
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(4, at(50))], at(101)),
+        corrected(
+            &mut starts,
+            EndpointListKind::Partial,
+            &[(4, at(50))],
+            at(101)
+        ),
         [at(50)]
     );
 }
@@ -189,13 +239,22 @@
 #[test]
 fn removal_bounds_later_joins() {
     let mut starts = warmed_up();
-    let mut terminated = Entry {
-        state: State::Terminated,
+    let mut terminated = ReplicaEntry {
+        state: EndpointState::Removed,
         ..entry(2, Timestamp::from_micros(BEGIN - 9 * HOUR))
     };
-    starts.correct(ListKind::Partial, std::iter::once(&mut terminated), at(100));
+    starts.correct(
+        EndpointListKind::Partial,
+        std::iter::once(&mut terminated),
+        at(100),
+    );
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(4, at(50))], at(101)),
+        corrected(
+            &mut starts,
+            EndpointListKind::Partial,
+            &[(4, at(50))],
+            at(101)
+        ),
         [at(101)]
     );
 }
@@ -216,12 +275,17 @@
         Timestamp::from_micros(BEGIN - 2 * HOUR),
     ];
     assert_eq!(
-        corrected(&mut starts, ListKind::Complete, &list, at(0)),
+        corrected(&mut starts, EndpointListKind::Complete, &list, at(0)),
         expected
     );
     // later joins are by the same clock
     assert_eq!(
-        corrected(&mut starts, ListKind::Partial, &[(5, at(3_604))], at(5)),
+        corrected(
+            &mut starts,
+            EndpointListKind::Partial,
+            &[(5, at(3_604))],
+            at(5)
+        ),
         [at(4)]
     );
 }
@@ -236,7 +300,7 @@
         (1, Timestamp::ZERO),
     ];
     assert_eq!(
-        corrected(&mut starts, ListKind::Complete, &others, at(50)),
+        corrected(&mut starts, EndpointListKind::Complete, &others, at(50)),
         others.map(|o| o.1)
     );
     // one among those that are known is taken for a join
@@ -246,7 +310,7 @@
         (7, Timestamp::from_micros(BEGIN - HOUR)),
     ];
     assert_eq!(
-        corrected(&mut starts, ListKind::Complete, &one, at(60))[2],
+        corrected(&mut starts, EndpointListKind::Complete, &one, at(60))[2],
         at(60)
     );
 }
--- a/src/core/start_times/tests/fleet.rs
+++ b/src/core/start_times/tests/fleet.rs
@@ -86,7 +86,7 @@
             .iter()
             .map(|(id, server)| (*id, server.stated))
             .collect();
-        corrected(&mut starts, ListKind::Complete, &list, at(0));
+        corrected(&mut starts, EndpointListKind::Complete, &list, at(0));
         Fleet {
             now: at(0),
             ahead: 0,
@@ -127,7 +127,7 @@
             }
             FleetEvent::Outage { down, behind } => {
                 self.starts
-                    .correct(ListKind::Error, std::iter::empty(), self.now);
+                    .correct(EndpointListKind::Error, std::iter::empty(), self.now);
                 self.now = self.now + Span::from_micros(down * SECOND);
                 self.behind_until = self.now + Span::from_micros(behind * SECOND);
             }
@@ -152,23 +152,23 @@
             .filter(|s| named(s.1))
             .map(|s| *s.0)
             .collect();
-        let mut entries: Vec<Entry> = Vec::new();
+        let mut entries: Vec<ReplicaEntry> = Vec::new();
         for id in &listed {
             let server = self.servers[id];
             let state = if server.left {
-                State::Terminated
+                EndpointState::Removed
             } else {
-                State::InService
+                EndpointState::InService
             };
-            entries.push(Entry {
+            entries.push(ReplicaEntry {
                 state,
                 ..entry(*id, server.stated)
             });
         }
         let kind = if complete {
-            ListKind::Complete
+            EndpointListKind::Complete
         } else {
-            ListKind::Partial
+            EndpointListKind::Partial
         };
         self.starts.correct(kind, entries.iter_mut(), now);
         if !behind {
@@ -185,7 +185,7 @@
             seen.push(Seen {
                 id,
                 server: *server,
-                started: entry.started,
+                started: entry.started_at,
                 join,
                 complete,
                 current,
--- a/src/edge/chat.rs
+++ b/src/edge/chat.rs
@@ -5,7 +5,7 @@
 
 use super::meter;
 use crate::api::ApiError;
-use crate::wire::replica_id;
+use crate::interface::stable_hash;
 
 /// A message of a conversation, measured.
 #[derive(Clone, Debug, PartialEq)]
@@ -99,11 +99,11 @@
             .first()
             .filter(|m| matches!(m["role"].as_str(), Some("system" | "developer")));
         let opening = opening.map(text).filter(|t| !t.is_empty());
-        let prefix = opening.map(|t| (replica_id(&t).0, size(t.chars().count())));
+        let prefix = opening.map(|t| (stable_hash(&t), size(t.chars().count())));
         let session = ["prompt_cache_key", "user"]
             .iter()
             .find_map(|k| body.get(*k)?.as_str());
-        let session = session.map(|s| replica_id(s).0);
+        let session = session.map(stable_hash);
         Ok(Chat {
             model,
             prompt,
--- a/src/edge/members.rs
+++ b/src/edge/members.rs
@@ -16,7 +16,7 @@
 
 use super::Edge;
 use crate::core::{Endpoint, EndpointsUpdate, Message};
-use crate::interface::{ListKind, ReplicaId, State, Timestamp};
+use crate::interface::{EndpointListKind, EndpointState, ReplicaId, Timestamp};
 use crate::net::connection_limit::ConnectionLimit;
 use crate::net::http::Buffer;
 use crate::net::http::read_response;
@@ -96,7 +96,10 @@
     ) -> EndpointsUpdate {
         let mut state = self.state();
         let catalogs = state.catalogs();
-        if matches!(resolved.kind, ListKind::Complete | ListKind::Persisted) {
+        if matches!(
+            resolved.kind,
+            EndpointListKind::Complete | EndpointListKind::Persisted
+        ) {
             let named: std::collections::HashSet<ReplicaId> =
                 resolved.endpoints.iter().map(|h| h.entry.replica).collect();
             hosts.retain(|id, _| named.contains(id));
@@ -107,17 +110,17 @@
             state.inventory.set_listed(
                 entry.replica,
                 entry.state,
-                entry.started,
+                entry.started_at,
                 host.models.as_deref(),
             );
-            if entry.state == State::Terminated {
+            if entry.state == EndpointState::Removed {
                 hosts.remove(&entry.replica);
                 continue;
             }
             entry.models = state.inventory.servable_models(entry.replica, &catalogs);
             let same = hosts
                 .get(&entry.replica)
-                .filter(|k| k.host.entry.started == entry.started);
+                .filter(|k| k.host.entry.started_at == entry.started_at);
             let (ask, asking) = same.map_or((Instant::now(), false), |k| (k.ask, k.asking));
             hosts.insert(
                 entry.replica,
@@ -155,7 +158,7 @@
         state.inventory.recount_hosts(&catalogs);
         known.host.entry.models = state.inventory.servable_models(told.replica, &catalogs);
         Some(EndpointsUpdate {
-            kind: ListKind::Partial,
+            kind: EndpointListKind::Partial,
             endpoints: vec![known.host.clone()],
         })
     }
@@ -173,7 +176,7 @@
             host
         };
         Some(EndpointsUpdate {
-            kind: ListKind::Partial,
+            kind: EndpointListKind::Partial,
             endpoints: hosts.values().map(of).collect(),
         })
     }
@@ -193,10 +196,10 @@
     let now = Instant::now();
     let due = hosts
         .values_mut()
-        .filter(|k| !k.asking && k.ask <= now && k.host.entry.state == State::InService);
+        .filter(|k| !k.asking && k.ask <= now && k.host.entry.state == EndpointState::InService);
     for known in due.take(AT_ONCE.saturating_sub(asked.len())) {
         (known.ask, known.asking) = (now + every, true);
-        let (replica, started) = (known.host.entry.replica, known.host.entry.started);
+        let (replica, started) = (known.host.entry.replica, known.host.entry.started_at);
         let (address, connection_limit) = (known.host.address.clone(), connection_limit.clone());
         asked.spawn(async move {
             let names = timeout(PATIENCE, names(&address, &connection_limit))
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -35,7 +35,7 @@
 use crate::core::Clock;
 use crate::core::CoreHandle;
 use crate::identity::AuthenticationError;
-use crate::interface::{Effect, Span, Timestamp};
+use crate::interface::{Idempotency, Span, Timestamp};
 use crate::routing::{Catalog, FirstTokenEstimates, ModelInventory, ModelNumbers};
 use crate::spend::{ClockReading, Ledger, MICRO_TOKENS_PER_TOKEN, NodeId};
 use config::Book;
@@ -140,13 +140,13 @@
         let class = |(name, class): (&String, &crate::interface::Class)| Class {
             name: name.clone(),
             deadline: Duration::from(class.deadline),
-            safe: class.effect == Effect::Safe,
+            safe: class.idempotency == Idempotency::Idempotent,
         };
         let first = config
             .settings
             .classes
             .iter()
-            .map(|c| c.aim)
+            .map(|c| c.first_token_objective)
             .min()
             .unwrap_or(Span::from_secs(1));
         let state = State {
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -2,49 +2,49 @@
 
 use super::{ReplicaId, RequestId, Span, Timestamp};
 
-/// What the gateway is to do.
+/// An order to the router. Actions of one step are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
-    Send {
+    /// Send a request to a replica.
+    StartAttempt {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The replica.
         replica: ReplicaId,
-        /// Give the attempt up after this; none: when the client does.
-        give_up: Option<Span>,
+        /// How long to wait for the first token; `None`: as long as the client waits.
+        timeout: Option<Span>,
     },
-    /// Call an attempt off.
-    Cancel {
+    /// Cancel an attempt.
+    CancelAttempt {
         /// The request.
         request: RequestId,
-        /// The attempt's number.
-        trial: u32,
+        /// The attempt's number within the request, from 0.
+        attempt: u32,
     },
-    /// Final answer: declined, and a repeat is harmless.
-    Refuse {
+    /// Final answer: rejected. A retry by the client is harmless.
+    Reject {
         /// The request.
         request: RequestId,
-        /// When the client should come back.
-        retry_in: Option<Span>,
+        /// After which time the client should retry; `None`: it is not said.
+        retry_after: Option<Span>,
     },
-    /// Final answer: failed, with no promise.
+    /// Final answer: failed. Whether a retry is harmless is unknown.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Probe a replica.
-    Probe {
-        /// Which one.
+    /// Check a replica's health.
+    CheckHealth {
+        /// The replica.
         replica: ReplicaId,
     },
-    /// Ask for changes of the list from now on.
-    Watch,
-    /// Step again at this time, with an event for it.
-    Timer {
+    /// Watch the endpoint list from now on.
+    WatchEndpoints,
+    /// Step again at a given time, with [`Event::TimerFired`](super::Event::TimerFired).
+    SetTimer {
         /// When.
         at: Timestamp,
-        /// A number that comes back with it.
-        mark: u64,
+        /// Identifies the timer; comes back with the event.
+        timer_id: u64,
     },
 }
--- a/src/interface/class.rs
+++ b/src/interface/class.rs
@@ -1,72 +1,73 @@
-//! Classes of requests: what their clients expect, what an answer is worth, and what a retry may do.
+//! Classes of requests: their latency objectives, priority weights and retry rules.
 
 use super::Span;
 
-/// What a repeat of a request may do.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
-    /// Repeats are harmless.
+pub enum Idempotency {
+    /// Running it twice is harmless.
     #[default]
-    Safe,
-    /// Repeats are dropped within a group of replicas, for a while.
+    Idempotent,
+    /// It has an idempotency key: replicas drop duplicates within the class's
+    /// [`DeduplicationScope`] and window.
     Keyed,
-    /// Repeats do harm.
-    Unsafe,
+    /// Running it twice does harm.
+    NonIdempotent,
 }
 
-/// The replicas that drop a keyed request's repeats.
+/// The replicas among which duplicates of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Group {
-    /// All of them.
+pub enum DeduplicationScope {
+    /// All replicas.
     #[default]
     All,
-    /// Those in one zone.
+    /// The replicas of one zone.
     Zone,
-    /// Those in one cell.
+    /// The replicas of one cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// First-token aim (TTFT), before the prompt's part.
-    pub aim: Span,
-    /// Added to the aim for each 1,000 prompt tokens.
-    pub aim_per_1000: Span,
-    /// The aim grows by this multiple of the request's own work, up to the deadline.
-    pub aim_stretch: f64,
-    /// The aim for the time between tokens (TPOT).
-    pub pace: Span,
-    /// How long a client waits over all its tries.
+    /// Latency objective of the first token (TTFT), for a request without a prompt.
+    pub first_token_objective: Span,
+    /// Added to the objective for each 1,000 prompt tokens.
+    pub first_token_objective_per_1000_prompt_tokens: Span,
+    /// The objective grows by this multiple of the request's expected work, up to the deadline.
+    pub first_token_objective_stretch: f64,
+    /// Latency objective between two tokens (TPOT).
+    pub token_interval_objective: Span,
+    /// How long a client waits over all its attempts.
     pub deadline: Span,
-    /// What a repeat may do.
-    pub effect: Effect,
-    /// Who drops a keyed request's repeats.
-    pub group: Group,
-    /// For how long they do, from the send of the first attempt that may have run.
-    pub window: Span,
-    /// The worth of an answer in time.
-    pub worth: f64,
-    /// The part of it that a late answer keeps.
-    pub late_worth: f64,
-    /// The answer streams, so a first token is reported.
-    pub stream: bool,
+    /// Whether a request may run more than once.
+    pub idempotency: Idempotency,
+    /// Where duplicates of a keyed request are dropped.
+    pub deduplication_scope: DeduplicationScope,
+    /// For how long they are dropped, from the start of the first attempt that may have run.
+    pub deduplication_window: Span,
+    /// Priority weight: the value of an answer within the objective.
+    pub priority_weight: f64,
+    /// The part of the priority weight, from 0 to 1, that an answer after the objective keeps.
+    pub late_weight: f64,
+    /// The answer is streamed, so its first token is reported.
+    pub streaming: bool,
 }
 
 impl Default for Class {
     fn default() -> Class {
         Class {
-            aim: Span::from_secs(1),
-            aim_per_1000: Span::ZERO,
-            aim_stretch: 0.0,
-            pace: Span::from_millis(80),
+            first_token_objective: Span::from_secs(1),
+            first_token_objective_per_1000_prompt_tokens: Span::ZERO,
+            first_token_objective_stretch: 0.0,
+            token_interval_objective: Span::from_millis(80),
             deadline: Span::from_secs(5),
-            effect: Effect::Safe,
-            group: Group::All,
-            window: Span::from_secs(5),
-            worth: 1.0,
-            late_worth: 0.0,
-            stream: true,
+            idempotency: Idempotency::Idempotent,
+            deduplication_scope: DeduplicationScope::All,
+            deduplication_window: Span::from_secs(5),
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            streaming: true,
         }
     }
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use super::{Entry, ListKind, ReplicaId, RequestId, Span, Timestamp};
+use super::{EndpointListKind, LoadReport, ReplicaEntry, ReplicaId, RequestId, Span, Timestamp};
 
-/// A client's request.
+/// A client's request as it arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Arrival {
     /// Its id.
@@ -15,125 +15,143 @@
     pub tenant: u32,
     /// Its session.
     pub session: Option<u64>,
-    /// The prefix that it shares with other sessions.
+    /// The prompt prefix that it shares with other sessions.
     pub prefix: Option<u64>,
-    /// Prompt tokens.
-    pub prompt: u32,
-    /// How many of them are the shared prefix.
-    pub shared: u32,
+    /// Tokens of the prompt.
+    pub prompt_tokens: u32,
+    /// How many of them belong to the shared prefix.
+    pub shared_prefix_tokens: u32,
     /// The most tokens that the answer can have.
-    pub cap: u32,
-    /// The work expected of it, where told, as time on a standard core.
-    pub hint: Span,
-    /// When the client gives this try up.
-    pub valid_until: Timestamp,
-    /// The client flagged it as a repeat.
-    pub repeat: bool,
-    /// It comes back after its stream broke.
+    pub max_output_tokens: u32,
+    /// The work expected of it, as time on a replica of weight 1; zero where the client does not
+    /// say.
+    pub expected_work: Span,
+    /// When the client stops waiting for it.
+    pub expires_at: Timestamp,
+    /// The client marked it as a retry.
+    pub is_retry: bool,
+    /// The client sends it again because its stream broke.
     pub resumed: bool,
     /// The model asked for; 0: any.
     pub model: u32,
-    /// Attempts that it had under earlier ids, for other models; they count toward the most
-    /// allowed.
-    pub spent: u32,
+    /// Attempts that were made under earlier ids, for other models; they count toward
+    /// [`Settings::max_attempts`](super::Settings::max_attempts).
+    pub prior_attempts: u32,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
-    Ok,
-    /// The replica answered with an error; may have run.
+    /// Answered.
+    Completed,
+    /// The replica answered with an error; it may have run.
     Error,
-    /// Turned away unseen; never ran.
-    Full,
-    /// No answer in time; may have run.
+    /// The replica rejected it unread; it never ran.
+    Rejected,
+    /// No answer within the timeout; it may have run.
     Timeout,
-    /// No connection; never ran.
+    /// No connection could be made; it never ran.
     ConnectFailed,
-    /// The connection broke; may have run.
-    Reset,
-    /// Called off; may have run.
+    /// The connection broke; it may have run.
+    ConnectionReset,
+    /// Cancelled by the router; it may have run.
     Cancelled,
-    /// Never sent.
-    Moot,
+    /// Given up by the router before it was sent; it never ran.
+    NeverSent,
 }
 
 impl Outcome {
-    /// It proves that the attempt never ran.
+    /// Whether it proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent
+        )
     }
+
+    /// Whether it says anything about the replica.
+    pub fn concerns_replica(self) -> bool {
+        !matches!(self, Outcome::Cancelled | Outcome::NeverSent)
+    }
+
+    /// Whether it is a fault of the replica.
+    pub fn is_fault(self) -> bool {
+        self.concerns_replica() && self != Outcome::Completed
+    }
+}
+
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AttemptEnded {
+    /// The request.
+    pub request: RequestId,
+    /// The attempt's number within the request, from 0.
+    pub attempt: u32,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// Time since its start.
+    pub elapsed: Span,
+    /// Prompt tokens that the replica found in its prefix cache, where it reported them.
+    pub cached_tokens: Option<u32>,
+    /// The request has its final answer, or its client has disconnected.
+    pub request_complete: bool,
+    /// The replica's load, where it reported it.
+    pub load_report: Option<LoadReport>,
 }
 
-/// Values of a load report, in the order of [`Settings::report`](super::Settings::report); a value
-/// that was not sent is NaN.
-pub type Report = [f32; 4];
+/// The end of a health check.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct HealthCheckEnded {
+    /// The replica.
+    pub replica: ReplicaId,
+    /// How the check ended.
+    pub outcome: Outcome,
+    /// Time since its start.
+    pub elapsed: Span,
+    /// The replica's load, where it reported it.
+    pub load_report: Option<LoadReport>,
+}
 
 /// What happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the replicas.
-    Members {
+    /// The endpoint list changed, or could not be fetched.
+    EndpointsUpdated {
         /// What the entries are.
-        kind: ListKind,
+        kind: EndpointListKind,
         /// The entries.
-        entries: Arc<[Entry]>,
+        entries: Arc<[ReplicaEntry]>,
     },
-    /// A request came in.
-    Request(Arrival),
-    /// The first token of an attempt came.
-    First {
+    /// A request arrived.
+    RequestReceived(Arrival),
+    /// The first token of an attempt arrived.
+    FirstToken {
         /// The request.
         request: RequestId,
-        /// The attempt's number, from 0.
-        trial: u32,
-        /// Time since the send.
-        took: Span,
+        /// The attempt's number within the request, from 0.
+        attempt: u32,
+        /// Time since the attempt's start.
+        elapsed: Span,
     },
-    /// The client has gone; nothing is owed any more.
-    Gone {
+    /// The client disconnected; it needs no answer.
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
     /// An attempt ended.
-    Ended {
-        /// The request.
-        request: RequestId,
-        /// The attempt's number, from 0.
-        trial: u32,
-        /// How.
-        outcome: Outcome,
-        /// Time since the send.
-        took: Span,
-        /// Prompt tokens that were found kept, where told.
-        kept: Option<u32>,
-        /// The request is finished.
-        closed: bool,
-        /// The replica's load, where told.
-        report: Option<Report>,
-    },
-    /// A probe ended.
-    Probed {
-        /// The replica.
-        replica: ReplicaId,
-        /// How.
-        outcome: Outcome,
-        /// Time since the probe.
-        took: Span,
-        /// The replica's load, where told.
-        report: Option<Report>,
-    },
-    /// A peer's message. Nothing is decided on it.
-    Peer {
+    AttemptEnded(AttemptEnded),
+    /// A health check ended.
+    HealthCheckEnded(HealthCheckEnded),
+    /// Another router sent a message. No decision depends on it.
+    PeerMessage {
         /// The sender's number.
         from: u32,
-        /// What it said.
+        /// The message.
         bytes: Arc<[u8]>,
     },
-    /// A timer is due.
-    Timer {
-        /// The number given with it.
-        mark: u64,
+    /// A timer fired.
+    TimerFired {
+        /// The timer's id, as given in [`Action::SetTimer`](super::Action::SetTimer).
+        timer_id: u64,
     },
 }
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,9 +1,29 @@
 //! Identifiers of requests and replicas.
 
-/// A request of a client, as numbered by the gateway. Never used twice.
+/// Offset basis of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// A request of a client, as numbered by the router. Never used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// A replica. The same number at every gateway, or a session's home replica is not agreed on.
+/// A replica. All routers use the same number for a replica, so that they agree on a session's home
+/// replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId(pub u64);
+
+impl ReplicaId {
+    /// The number of the replica with a given name.
+    pub fn from_name(name: &str) -> ReplicaId {
+        ReplicaId(stable_hash(name))
+    }
+}
+
+/// A hash of a text that is the same in every process and release (FNV-1a, 64 bits), so that all
+/// routers derive the same numbers from names of replicas, sessions and prefixes.
+pub fn stable_hash(text: &str) -> u64 {
+    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    text.bytes().fold(FNV_OFFSET_BASIS, step)
+}
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,119 +1,105 @@
 //! What the decision module is started with. The settings file and its keys belong to the callers.
 
-use super::{Class, Span};
+use super::{Class, LoadReportField, Span};
 
-/// All that a gateway is told at its start.
+/// The settings of the decision module, constant for the life of the process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many gateways there are.
-    pub instances: u32,
+    /// How many routers there are.
+    pub router_count: u32,
     /// The zone of this one.
     pub zone: u32,
     /// The least time between two steps.
-    pub period: Span,
-    /// The list of replicas comes only when asked for.
-    pub ask: bool,
-    /// A gateway that has not asked for so long counts as told.
-    pub must_ask_in: Span,
+    pub step_interval: Span,
+    /// The endpoint list comes only on request (a poll or a watch), and is not pushed.
+    pub endpoints_on_request: bool,
+    /// A change of the endpoint list counts as notified this long after it, at the latest, even
+    /// where the list was not requested.
+    pub staleness_bound: Span,
     /// The classes of requests.
     pub classes: Vec<Class>,
-    /// The tenants' shares, in requests a second over all gateways; infinite where there is none.
+    /// The tenants' quotas, in requests a second over all routers; infinite where there is none.
     pub quotas: Vec<f64>,
-    /// What a request beyond its tenant's share is worth, as a part.
-    pub over_share_worth: f64,
-    /// A broken stream may go on elsewhere.
-    pub resume: bool,
-    /// Clients flag their repeats.
-    pub marks_retry: bool,
-    /// Attempts may be called off.
-    pub cancel: bool,
-    /// Two attempts of a request may run together.
-    pub second_copies: bool,
-    /// Probes are allowed.
-    pub probes: bool,
-    /// Clients are told when to come back.
+    /// The part of its priority weight, from 0 to 1, that a request beyond its tenant's quota has.
+    pub over_quota_weight: f64,
+    /// A broken stream may be resumed at another replica.
+    pub stream_resumption: bool,
+    /// Clients mark their retries.
+    pub clients_mark_retries: bool,
+    /// Attempts may be cancelled.
+    pub cancellation: bool,
+    /// Two attempts of a request may run at once.
+    pub hedged_requests: bool,
+    /// Health checks are allowed.
+    pub health_checks: bool,
+    /// Rejections may carry a Retry-After time.
     pub retry_after: bool,
-    /// The longest wait that they heed.
+    /// The longest Retry-After time that clients obey.
     pub max_retry_after: Span,
-    /// Attempts a request may have.
+    /// The most attempts of a request.
     pub max_attempts: u32,
-    /// An idle connection is closed after this.
-    pub conn_idle: Span,
-    /// Price of an attempt that crosses zones.
-    pub cross_price: f64,
-    /// Price of a new connection.
-    pub handshake_price: f64,
-    /// Price of work that served nobody.
-    pub waste_price: f64,
-    /// Price of a probe.
-    pub probe_price: f64,
-    /// Sends to a draining or gone replica end within this.
+    /// A connection that is idle for so long is closed.
+    pub idle_connection_timeout: Span,
+    /// Cost of an attempt in another zone, in units of priority weight, as the costs below.
+    pub cross_zone_cost: f64,
+    /// Cost of a new connection.
+    pub connection_cost: f64,
+    /// Cost of work that served nobody.
+    pub wasted_work_cost: f64,
+    /// Cost of a health check.
+    pub health_check_cost: f64,
+    /// Attempts at a draining or removed replica end within this.
     pub drain_grace: Span,
-    /// A cold replica falls when sent more than this multiple of what it can do,
-    pub fall_multiple: f64,
-    /// for so long.
-    pub fall: Span,
-    /// It starts at this share of its capacity or more
-    pub start_capacity: f64,
-    /// and is warm after this.
-    pub warm_after: Span,
-    /// Ratings in the list are sizes; otherwise they change with the load, too late to go by.
-    pub sized: bool,
-    /// The values of a load report.
-    pub report: Vec<Field>,
-    /// Reports come with answers, not only with probes.
-    pub report_in_answers: bool,
+    /// A replica that is warming up fails when it is sent more than this multiple of its capacity
+    /// within [`Settings::overload_window`].
+    pub overload_factor: f64,
+    /// The window over which a replica's load is compared with its capacity.
+    pub overload_window: Span,
+    /// The part of its capacity, from 0 to 1, that a replica has at least when it starts.
+    pub slow_start_floor: f64,
+    /// A replica has its full capacity this long after its start.
+    pub slow_start_duration: Span,
+    /// Weights in the endpoint list are the sizes of the replicas. Otherwise they follow the load,
+    /// too late to decide on.
+    pub weights_are_sizes: bool,
+    /// The values of a load report, in the order in which replicas are to report them.
+    pub load_report_fields: Vec<LoadReportField>,
+    /// Load reports come with answers, and not only with health checks.
+    pub load_reports_in_answers: bool,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            instances: 1,
+            router_count: 1,
             zone: 0,
-            period: Span::from_millis(2),
-            ask: false,
-            must_ask_in: Span::from_secs(10),
+            step_interval: Span::from_millis(2),
+            endpoints_on_request: false,
+            staleness_bound: Span::from_secs(10),
             classes: Vec::new(),
             quotas: Vec::new(),
-            over_share_worth: 1.0,
-            resume: false,
-            marks_retry: false,
-            cancel: false,
-            second_copies: false,
-            probes: false,
+            over_quota_weight: 1.0,
+            stream_resumption: false,
+            clients_mark_retries: false,
+            cancellation: false,
+            hedged_requests: false,
+            health_checks: false,
             retry_after: false,
             max_retry_after: Span::ZERO,
             max_attempts: 2,
-            conn_idle: Span::from_secs(5),
-            cross_price: 0.0,
-            handshake_price: 0.0,
-            waste_price: 0.0,
-            probe_price: 0.0,
+            idle_connection_timeout: Span::from_secs(5),
+            cross_zone_cost: 0.0,
+            connection_cost: 0.0,
+            wasted_work_cost: 0.0,
+            health_check_cost: 0.0,
             drain_grace: Span::ZERO,
-            fall_multiple: 2.0,
-            fall: Span::from_secs(1),
-            start_capacity: 0.1,
-            warm_after: Span::from_secs(20),
-            sized: true,
-            report: Vec::new(),
-            report_in_answers: false,
+            overload_factor: 2.0,
+            overload_window: Span::from_secs(1),
+            slow_start_floor: 0.1,
+            slow_start_duration: Span::from_secs(20),
+            weights_are_sizes: true,
+            load_report_fields: Vec::new(),
+            load_reports_in_answers: false,
         }
     }
 }
-
-/// What a value in a load report means.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Field {
-    /// Requests being handled.
-    Inflight,
-    /// Requests waiting.
-    Queue,
-    /// Share of the slots in use.
-    Util,
-    /// Errors a second.
-    Errors,
-    /// Requests served a second.
-    Served,
-    /// Anything else.
-    Other,
-}
--- a/src/interface/time.rs
+++ b/src/interface/time.rs
@@ -115,6 +115,15 @@
     }
 }
 
+impl Sub<Span> for Timestamp {
+    type Output = Timestamp;
+
+    /// The time `span` earlier; saturates at [`Timestamp::ZERO`].
+    fn sub(self, span: Span) -> Timestamp {
+        Timestamp(self.0.saturating_sub(span.0))
+    }
+}
+
 impl From<Span> for Duration {
     fn from(span: Span) -> Duration {
         Duration::from_micros(span.0)
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -15,9 +15,8 @@
 use tracing::{info, warn};
 
 use crate::core::{DiscoveryCommand, Endpoint, EndpointsUpdate, Message};
-use crate::interface::{Entry, ListKind, State, Timestamp};
+use crate::interface::{EndpointListKind, EndpointState, ReplicaEntry, ReplicaId, Timestamp};
 use crate::net::discovery::endpoint_list::zone_number;
-use crate::wire::replica_id;
 
 /// How often the file is looked at.
 const LOOK: Duration = Duration::from_millis(500);
@@ -111,10 +110,10 @@
         return wrong(at, format!("{name}: {port:?} is no port"));
     }
     let state = match var(&["state", "phase"]) {
-        None => State::InService,
+        None => EndpointState::InService,
         Some((text, line)) => match text.to_ascii_lowercase().as_str() {
-            "serving" | "in_service" | "present" | "up" => State::InService,
-            "draining" | "terminating" | "drain" => State::Terminating,
+            "serving" | "in_service" | "present" | "up" => EndpointState::InService,
+            "draining" | "terminating" | "drain" => EndpointState::Draining,
             other => {
                 return wrong(
                     line,
@@ -143,16 +142,16 @@
             zone => zone,
         },
     };
-    let entry = Entry {
-        replica: replica_id(name),
+    let entry = ReplicaEntry {
+        replica: ReplicaId::from_name(name),
         zone,
         cell: number(&["cell"], 1e6)?.unwrap_or(0.0) as u32,
         state,
-        started: Timestamp::from_micros(
+        started_at: Timestamp::from_micros(
             number(&["up_since_ms"], 1e14)?.unwrap_or(0.0) as u64 * 1000,
         ),
-        rating: number(&["size", "weight"], 1e6)?.unwrap_or(1.0),
-        ..Entry::default()
+        weight: number(&["size", "weight"], 1e6)?.unwrap_or(1.0),
+        ..ReplicaEntry::default()
     };
     let models = var(&["models"])
         .map(|(text, line)| models(name, text, line))
@@ -498,11 +497,11 @@
         }
         let news = match held.clone() {
             Some(hosts) => EndpointsUpdate {
-                kind: ListKind::Complete,
+                kind: EndpointListKind::Complete,
                 endpoints: hosts,
             },
             None => EndpointsUpdate {
-                kind: ListKind::Error,
+                kind: EndpointListKind::Error,
                 endpoints: Vec::new(),
             },
         };
@@ -534,7 +533,7 @@
                 h.name.clone(),
                 h.address.clone(),
                 h.entry.zone,
-                h.entry.rating,
+                h.entry.weight,
             )
         };
         let rows: Vec<_> = hosts.iter().map(row).collect();
@@ -542,7 +541,7 @@
         assert_eq!(rows[1].0, "fast-02");
         assert_eq!(rows[2], ("lone".into(), "127.0.0.9:9100".into(), 0, 1.0));
         assert_eq!(rows[3], ("slow".into(), "127.0.0.3:9300".into(), 1, 1.0));
-        assert_eq!(hosts[3].entry.state, State::Terminating);
+        assert_eq!(hosts[3].entry.state, EndpointState::Draining);
     }
 
     #[test]
@@ -550,7 +549,7 @@
         let csv = "name,address,zone,size,owner\nlone,127.0.0.9:9100,cleveland,1,ops\n# away\nslow,127.0.0.3:9300,toledo,,\n";
         let hosts = read_csv(csv, &zones()).unwrap();
         assert_eq!(hosts[0], read_yaml(YAML, &zones()).unwrap()[2]);
-        assert_eq!((hosts[1].entry.zone, hosts[1].entry.rating), (1, 1.0));
+        assert_eq!((hosts[1].entry.zone, hosts[1].entry.weight), (1, 1.0));
     }
 
     #[test]
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -17,9 +17,9 @@
 use tracing::{info, warn};
 
 use crate::core::{Clock, CoreHandle, MaintenanceAction};
+use crate::interface::ReplicaId;
 use crate::ops::maintenance_state::MaintenanceState;
 use crate::storage::{AtomicFile, BackgroundWriter, Disk, Version};
-use crate::wire::replica_id;
 
 pub use command::{AdminCommand, AdminError};
 pub use peers::{ForwardedCommand, PeerId};
@@ -137,7 +137,7 @@
                 let is_known = check == ServerCheck::DoneByPeer;
                 let applied = self
                     .core
-                    .maintain(replica_id(name), name, action, is_known)
+                    .maintain(ReplicaId::from_name(name), name, action, is_known)
                     .await;
                 maintenance.exclusions = applied
                     .map_err(|_| AdminError::ShuttingDown)?
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -8,8 +8,9 @@
 use tracing::warn;
 
 use crate::core::{Endpoint, EndpointsUpdate};
-use crate::interface::{Entry, ListKind, ReplicaId, State, Timestamp};
-use crate::wire::replica_id;
+use crate::interface::{
+    EndpointListKind, EndpointState, ReplicaEntry, ReplicaId, Timestamp, stable_hash,
+};
 
 const PHASE_SERVING: &str = "SERVING";
 const PHASE_DRAINING: &str = "DRAINING";
@@ -57,31 +58,31 @@
         self.phase == PHASE_DELETED
     }
 
-    fn state(&self) -> State {
+    fn state(&self) -> EndpointState {
         match self.phase.as_str() {
-            PHASE_SERVING => State::InService,
-            PHASE_DRAINING => State::Terminating,
-            PHASE_DELETED => State::Terminated,
+            PHASE_SERVING => EndpointState::InService,
+            PHASE_DRAINING => EndpointState::Draining,
+            PHASE_DELETED => EndpointState::Removed,
             unknown => {
                 // a server that may not be serving gets no new requests
                 warn!(
                     "{}: unknown phase {unknown:?}, treated as draining",
                     self.id
                 );
-                State::Terminating
+                EndpointState::Draining
             }
         }
     }
 
     fn into_endpoint(self, localities: &[String]) -> Endpoint {
-        let entry = Entry {
-            replica: replica_id(&self.id),
+        let entry = ReplicaEntry {
+            replica: ReplicaId::from_name(&self.id),
             zone: zone_number(&self.locality, localities),
             cell: self.cell,
             state: self.state(),
-            started: Timestamp::from_micros(self.up_since_ms.saturating_mul(1000)),
-            rating: self.size,
-            kind: replica_id(&self.flavor).0 as u32,
+            started_at: Timestamp::from_micros(self.up_since_ms.saturating_mul(1000)),
+            weight: self.size,
+            machine_kind: stable_hash(&self.flavor) as u32,
             ..Default::default()
         };
         Endpoint {
@@ -95,7 +96,7 @@
 
 impl EndpointList {
     /// The list as the core takes it, with zones numbered by their position in `localities`.
-    pub fn resolved(self, kind: ListKind, localities: &[String]) -> EndpointsUpdate {
+    pub fn resolved(self, kind: EndpointListKind, localities: &[String]) -> EndpointsUpdate {
         let hosts = self
             .endpoints
             .into_iter()
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -21,7 +21,7 @@
 use super::endpoint_list::EndpointList;
 use super::snapshot::Snapshot;
 use crate::core::{DiscoveryCommand, EndpointsUpdate, Message};
-use crate::interface::ListKind;
+use crate::interface::EndpointListKind;
 
 pub use options::{MAX_TIMEOUT_RETRY_DELAY, Options};
 
@@ -179,9 +179,9 @@
         self.revision = list.revision;
         self.resync = false;
         let kind = if list.complete {
-            ListKind::Complete
+            EndpointListKind::Complete
         } else {
-            ListKind::Partial
+            EndpointListKind::Partial
         };
         report(&self.core, list.resolved(kind, &self.localities)).await
     }
@@ -195,7 +195,7 @@
             return Ok(NextStep::Poll);
         }
         let failed = EndpointsUpdate {
-            kind: ListKind::Error,
+            kind: EndpointListKind::Error,
             endpoints: Vec::new(),
         };
         report(&self.core, failed).await?;
--- a/src/net/downstream/request_head.rs
+++ b/src/net/downstream/request_head.rs
@@ -5,6 +5,7 @@
 use super::DownstreamContext;
 use super::reply::Reply;
 use crate::core::RequestAttributes;
+use crate::interface::stable_hash;
 use crate::net::http::{Head, is_safe_header_value};
 use crate::request_ids::is_request_id;
 
@@ -136,7 +137,7 @@
         .contains(&text.len())
         .then(|| u64::from_str_radix(text, 16).ok())
         .flatten();
-    key.unwrap_or_else(|| crate::wire::replica_id(text).0)
+    key.unwrap_or_else(|| stable_hash(text))
 }
 
 #[cfg(test)]
--- a/src/net/handover/exchange.rs
+++ b/src/net/handover/exchange.rs
@@ -16,7 +16,7 @@
 use super::takeover::TakeoverAnnouncement;
 use super::{Handover, OUTGOING_QUEUE_LENGTH};
 use crate::core::DiscoveryCommand;
-use crate::interface::ListKind;
+use crate::interface::EndpointListKind;
 use crate::lifecycle::ForwardedCommand;
 use crate::net::discovery::endpoint_list::EndpointList;
 use crate::net::listener::{REQUEST_CUTOFF_AFTER_SHUTDOWN, wait_until_set};
@@ -180,7 +180,7 @@
             }
             Effect::UpdateEndpoints(list) => {
                 let revision = list.revision();
-                let resolved = list.resolved(ListKind::Complete, &handover.localities);
+                let resolved = list.resolved(EndpointListKind::Complete, &handover.localities);
                 let order = DiscoveryCommand::Adopt {
                     version: revision,
                     update: resolved,
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -162,7 +162,7 @@
         let framed = head.and_then(|head| head.framing(true).map(|framing| (head, framing)));
         framed.map_err(|e| {
             debug!("{}: no response: {e}", self.address);
-            Interruption::Failed(Outcome::Reset)
+            Interruption::Failed(Outcome::ConnectionReset)
         })
     }
 }
@@ -170,7 +170,7 @@
 /// The outcome of a response other than 200: whether the server rejected the request unprocessed.
 fn failure_outcome(head: &Head) -> Outcome {
     if head.get("x-never-ran") == Some("1") && matches!(head.status, 503 | 504) {
-        Outcome::Full
+        Outcome::Rejected
     } else {
         Outcome::Error
     }
--- a/src/net/upstream/health_check.rs
+++ b/src/net/upstream/health_check.rs
@@ -10,7 +10,7 @@
 use super::Upstream;
 use super::load_report::parse_load_report;
 use crate::core::Message;
-use crate::interface::{Outcome, Report};
+use crate::interface::{HealthCheckEnded, LoadReport, Outcome, Span};
 use crate::net::http;
 
 /// How long a health check may take, connecting included.
@@ -18,14 +18,14 @@
 
 struct HealthCheckResult {
     outcome: Outcome,
-    report: Option<Report>,
+    load_report: Option<LoadReport>,
 }
 
 impl From<Outcome> for HealthCheckResult {
     fn from(outcome: Outcome) -> HealthCheckResult {
         HealthCheckResult {
             outcome,
-            report: None,
+            load_report: None,
         }
     }
 }
@@ -35,16 +35,16 @@
     pub(super) async fn run_health_check(self: Arc<Self>) {
         let start = Instant::now();
         let check = self.check_health(start + HEALTH_CHECK_TIMEOUT);
-        let HealthCheckResult { outcome, report } = timeout(HEALTH_CHECK_TIMEOUT, check)
+        let result = timeout(HEALTH_CHECK_TIMEOUT, check)
             .await
             .unwrap_or_else(|_| Outcome::Timeout.into());
-        let probed = Message::HealthChecked {
+        let end = HealthCheckEnded {
             replica: self.replica,
-            outcome,
-            took: start.elapsed(),
-            report,
+            outcome: result.outcome,
+            elapsed: Span::from(start.elapsed()),
+            load_report: result.load_report,
         };
-        let _ = self.messages.send(probed).await;
+        let _ = self.messages.send(Message::HealthCheckEnded(end)).await;
     }
 
     async fn check_health(&self, deadline: Instant) -> HealthCheckResult {
@@ -64,7 +64,7 @@
         let head = http::read_response_head(&mut connection.buffer, &mut connection.stream).await;
         let framed = head.and_then(|head| head.framing(true).map(|framing| (head, framing)));
         let Ok((head, framing)) = framed else {
-            return Outcome::Reset.into();
+            return Outcome::ConnectionReset.into();
         };
         let body = self.drain_body(connection, &head, framing).await;
         let text = body
@@ -73,11 +73,12 @@
         trace!("{}: load report {text:?}", self.address);
         HealthCheckResult {
             outcome: if head.status == 200 {
-                Outcome::Ok
+                Outcome::Completed
             } else {
                 Outcome::Error
             },
-            report: text.and_then(|text| parse_load_report(text, &self.options.load_report_names)),
+            load_report: text
+                .and_then(|text| parse_load_report(text, &self.options.load_report_names)),
         }
     }
 }
--- a/src/net/upstream/load_report.rs
+++ b/src/net/upstream/load_report.rs
@@ -1,30 +1,30 @@
 //! Load reports in the text form, as servers put them into the answer to a health check.
 
-use crate::interface::Report;
+use crate::interface::{LoadReport, LoadReportField, MAX_LOAD_REPORT_FIELDS};
 
 /// What precedes the report where it comes as a header line.
 const HEADER: &str = "Endpoint-Load-Metrics:";
 
-/// Parses a load report; its values are in the order of `names`, as in the settings. None where the
-/// text is no report; a value that is missing or no number is `NAN`.
-pub(super) fn parse_load_report(text: &str, names: &[String]) -> Option<Report> {
+/// Parses a load report. `names` are the values' names in the settings; others are passed over, and
+/// so is a value that is no number. `None` where the text is no report.
+pub(super) fn parse_load_report(text: &str, names: &[String]) -> Option<LoadReport> {
     let text = text.trim();
     let report_text = text
         .split_once(HEADER)
         .map_or(text, |(_, report)| report.trim());
     let fields = report_text.strip_prefix("TEXT")?;
-    let mut report: Report = [f32::NAN; 4];
+    let names = &names[..names.len().min(MAX_LOAD_REPORT_FIELDS)];
+    let mut report = LoadReport::default();
     for field in fields.split(',') {
         let Some((name, value)) = field.split_once('=') else {
             continue;
         };
         let name = name.trim();
-        let position = names
+        let known = names
             .iter()
-            .position(|known| known == name || short_name(known) == name)
-            .filter(|&position| position < report.len());
-        if let (Some(position), Ok(value)) = (position, value.trim().parse::<f32>()) {
-            report[position] = value;
+            .find(|known| *known == name || short_name(known) == name);
+        if let (Some(known), Ok(value)) = (known, value.trim().parse::<f32>()) {
+            report.set(LoadReportField::from_name(known), value);
         }
     }
     Some(report)
--- a/src/net/upstream/response_stream.rs
+++ b/src/net/upstream/response_stream.rs
@@ -50,7 +50,7 @@
         if framing == Framing::UntilClose {
             // a stream that was cut off would look complete
             debug!("{}: a stream without framing", upstream.address);
-            return Err(Interruption::Failed(Outcome::Reset));
+            return Err(Interruption::Failed(Outcome::ConnectionReset));
         }
         Ok(ResponseStream {
             upstream,
@@ -68,7 +68,7 @@
         let end = self.forward_body().await?;
         // a response without an event has served nobody
         let Some(chunks) = self.chunks else {
-            return Err(Interruption::Failed(Outcome::Reset));
+            return Err(Interruption::Failed(Outcome::ConnectionReset));
         };
         match end {
             BodyEnd::Complete => self.upstream.return_to_pool(self.connection, head),
@@ -77,7 +77,7 @@
             BodyEnd::Broken => {
                 let chunk = Chunk::Broken;
                 return Ok(Completion {
-                    result: Outcome::Reset.into(),
+                    result: Outcome::ConnectionReset.into(),
                     last_chunk: Some(LastChunk { chunks, chunk }),
                 });
             }
@@ -85,7 +85,7 @@
         let chunk = Chunk::Complete;
         Ok(Completion {
             result: AttemptResult {
-                outcome: Outcome::Ok,
+                outcome: Outcome::Completed,
                 cached_tokens: self.tail.cached_tokens(),
                 load_report: None,
             },
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -10,7 +10,7 @@
 use super::pool::watch_idle;
 use super::stream_tail::StreamTail;
 use super::{Connection, Options, Upstream};
-use crate::interface::ReplicaId;
+use crate::interface::{LoadReport, ReplicaId};
 use crate::net::connection_limit::ConnectionLimit;
 use crate::net::stream::Stream;
 use crate::ops::metrics::Metrics;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn load_report_follows_settings_order() {
+fn load_report_has_configured_values() {
     let names = ["utilization", "errors_per_s"].map(String::from);
     // as the settings name them, and by the shorter names
     for text in [
@@ -39,8 +39,12 @@
         "TEXT eps=3, util=0.5, other=1",
     ] {
         let report = parse_load_report(text, &names).unwrap();
-        assert_eq!(report[..2], [0.5, 3.0]);
-        assert!(report[2].is_nan());
+        let expected = LoadReport {
+            utilization: Some(0.5),
+            errors_per_second: Some(3.0),
+            ..LoadReport::default()
+        };
+        assert_eq!(report, expected);
     }
 }
 
--- a/src/ops/exclusions.rs
+++ b/src/ops/exclusions.rs
@@ -7,7 +7,7 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-use crate::interface::{Entry, ListKind, ReplicaId, Span, State, Timestamp};
+use crate::interface::{EndpointListKind, EndpointState, ReplicaEntry, ReplicaId, Span, Timestamp};
 use crate::lru::LruMap;
 
 /// How long a restored server counts as started at its restoration, where the list reports no start
@@ -57,7 +57,7 @@
 #[derive(Debug, Default)]
 pub struct Exclusions {
     exclusions: BTreeMap<ReplicaId, Exclusion>,
-    listed: FxHashMap<ReplicaId, Entry>,
+    listed: FxHashMap<ReplicaId, ReplicaEntry>,
     ever_listed: LruMap<ReplicaId, ()>,
 }
 
@@ -73,15 +73,18 @@
     /// Takes in a list update, and changes its entries into what the policy is to see.
     pub fn apply<'a>(
         &mut self,
-        kind: ListKind,
-        entries: impl Iterator<Item = &'a mut Entry>,
+        kind: EndpointListKind,
+        entries: impl Iterator<Item = &'a mut ReplicaEntry>,
         now: Timestamp,
     ) {
-        if matches!(kind, ListKind::Complete | ListKind::Persisted) {
+        if matches!(
+            kind,
+            EndpointListKind::Complete | EndpointListKind::Persisted
+        ) {
             self.listed.clear();
         }
         for entry in entries {
-            if entry.state == State::Terminated {
+            if entry.state == EndpointState::Removed {
                 self.listed.remove(&entry.replica);
             } else {
                 self.ever_listed.insert(entry.replica, ());
@@ -94,23 +97,25 @@
     }
 
     /// Changes an entry into what the policy is to see.
-    fn apply_to(&self, entry: &mut Entry) {
+    fn apply_to(&self, entry: &mut ReplicaEntry) {
         let Some(exclusion) = self.exclusions.get(&entry.replica) else {
             return;
         };
         match exclusion.restored_at {
-            None if entry.state == State::InService => entry.state = State::Terminating,
+            None if entry.state == EndpointState::InService => {
+                entry.state = EndpointState::Draining;
+            }
             // it may have been restarted during the maintenance without the list reporting it yet:
             // it goes through slow start
-            Some(restored) if entry.started < Timestamp::from_micros(exclusion.excluded_at) => {
-                entry.started = Timestamp::from_micros(restored);
+            Some(restored) if entry.started_at < Timestamp::from_micros(exclusion.excluded_at) => {
+                entry.started_at = Timestamp::from_micros(restored);
             }
             _ => {}
         }
     }
 
     /// What the policy is to see of a server now; `None` if the list doesn't name it.
-    fn effective_entry(&self, replica: ReplicaId) -> Option<Entry> {
+    fn effective_entry(&self, replica: ReplicaId) -> Option<ReplicaEntry> {
         let mut entry = self.listed.get(&replica)?.clone();
         self.apply_to(&mut entry);
         Some(entry)
@@ -122,7 +127,12 @@
     }
 
     /// Excludes a server; what the policy is to see of it now, if it is listed.
-    pub fn exclude(&mut self, replica: ReplicaId, name: &str, now: Timestamp) -> Option<Entry> {
+    pub fn exclude(
+        &mut self,
+        replica: ReplicaId,
+        name: &str,
+        now: Timestamp,
+    ) -> Option<ReplicaEntry> {
         let exclusion = self.exclusions.entry(replica).or_insert_with(|| Exclusion {
             name: name.to_string(),
             excluded_at: now.as_micros(),
@@ -135,12 +145,12 @@
     }
 
     /// Restores a server; what the policy is to see of it now, if it is listed.
-    pub fn restore(&mut self, replica: ReplicaId, now: Timestamp) -> Option<Entry> {
+    pub fn restore(&mut self, replica: ReplicaId, now: Timestamp) -> Option<ReplicaEntry> {
         let exclusion = self.exclusions.get_mut(&replica)?;
         let start_is_listed = self
             .listed
             .get(&replica)
-            .is_some_and(|entry| entry.started >= Timestamp::from_micros(exclusion.excluded_at));
+            .is_some_and(|entry| entry.started_at >= Timestamp::from_micros(exclusion.excluded_at));
         exclusion.restored_at.get_or_insert(now.as_micros());
         if start_is_listed {
             self.exclusions.remove(&replica);
--- a/src/ops/exclusions/tests.rs
+++ b/src/ops/exclusions/tests.rs
@@ -4,17 +4,21 @@
 
 const NOW: Timestamp = Timestamp::from_secs(1_000);
 
-fn entry(id: u64, state: State, started: u64) -> Entry {
-    Entry {
+fn entry(id: u64, state: EndpointState, started: u64) -> ReplicaEntry {
+    ReplicaEntry {
         replica: ReplicaId(id),
         state,
-        started: Timestamp::from_micros(started),
-        ..Entry::default()
+        started_at: Timestamp::from_micros(started),
+        ..ReplicaEntry::default()
     }
 }
 
 /// What the policy sees of a list update with this entry.
-fn applied(exclusions: &mut Exclusions, kind: ListKind, entry: &Entry) -> Entry {
+fn applied(
+    exclusions: &mut Exclusions,
+    kind: EndpointListKind,
+    entry: &ReplicaEntry,
+) -> ReplicaEntry {
     let mut entry = entry.clone();
     exclusions.apply(kind, std::iter::once(&mut entry), NOW);
     entry
@@ -25,24 +29,24 @@
     let mut exclusions = Exclusions::default();
     applied(
         &mut exclusions,
-        ListKind::Complete,
-        &entry(1, State::InService, 0),
+        EndpointListKind::Complete,
+        &entry(1, EndpointState::InService, 0),
     );
     exclusions.exclude(ReplicaId(1), "s-1", NOW);
     let restored_at = Timestamp::from_micros(NOW.as_micros() + 5_000_000);
     assert_eq!(
         exclusions.restore(ReplicaId(1), restored_at),
-        Some(entry(1, State::InService, restored_at.as_micros()))
+        Some(entry(1, EndpointState::InService, restored_at.as_micros()))
     );
     // an old list changes nothing, one with the start is believed
-    let old = entry(1, State::InService, 7);
+    let old = entry(1, EndpointState::InService, 7);
     assert_eq!(
-        applied(&mut exclusions, ListKind::Partial, &old).started,
+        applied(&mut exclusions, EndpointListKind::Partial, &old).started_at,
         restored_at
     );
-    let restarted = entry(1, State::InService, NOW.as_micros() + 2_000_000);
+    let restarted = entry(1, EndpointState::InService, NOW.as_micros() + 2_000_000);
     assert_eq!(
-        applied(&mut exclusions, ListKind::Partial, &restarted),
+        applied(&mut exclusions, EndpointListKind::Partial, &restarted),
         restarted
     );
     // restored again: the same
@@ -55,7 +59,7 @@
 /// A server as the reference model has it.
 #[derive(Clone, Copy, Default)]
 struct ModelServer {
-    listed: Option<State>,
+    listed: Option<EndpointState>,
     is_excluded: bool,
     was_listed: bool,
 }
@@ -63,7 +67,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// A partial list with the server in this state.
-    Update(State),
+    Update(EndpointState),
     /// A complete list that names this server alone.
     CompleteList,
     Exclude,
@@ -74,9 +78,9 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        Just(Step::Update(State::InService)),
-        Just(Step::Update(State::Terminating)),
-        Just(Step::Update(State::Terminated)),
+        Just(Step::Update(EndpointState::InService)),
+        Just(Step::Update(EndpointState::Draining)),
+        Just(Step::Update(EndpointState::Removed)),
         Just(Step::CompleteList),
         Just(Step::Exclude),
         Just(Step::Restore),
@@ -112,18 +116,18 @@
             let server = model.entry(id).or_default();
             let seen = match step {
                 Step::Update(state) => {
-                    server.listed = Some(state).filter(|state| *state != State::Terminated);
+                    server.listed = Some(state).filter(|state| *state != EndpointState::Removed);
                     server.was_listed |= server.listed.is_some();
                     let update = entry(id, state, count as u64);
-                    Some(applied(&mut exclusions, ListKind::Partial, &update))
+                    Some(applied(&mut exclusions, EndpointListKind::Partial, &update))
                 }
                 Step::CompleteList => {
                     model.values_mut().for_each(|server| server.listed = None);
                     let server = model.entry(id).or_default();
-                    server.listed = Some(State::InService);
+                    server.listed = Some(EndpointState::InService);
                     server.was_listed = true;
-                    let update = entry(id, State::InService, 0);
-                    Some(applied(&mut exclusions, ListKind::Complete, &update))
+                    let update = entry(id, EndpointState::InService, 0);
+                    Some(applied(&mut exclusions, EndpointListKind::Complete, &update))
                 }
                 Step::Exclude => {
                     server.is_excluded = true;
@@ -140,8 +144,8 @@
             };
             let server = model[&id];
             if let Some(seen) = seen.filter(|_| server.listed.is_some()) {
-                let is_serving = server.listed == Some(State::InService) && !server.is_excluded;
-                prop_assert_eq!(seen.state == State::InService, is_serving);
+                let is_serving = server.listed == Some(EndpointState::InService) && !server.is_excluded;
+                prop_assert_eq!(seen.state == EndpointState::InService, is_serving);
             }
             prop_assert!(!server.was_listed || exclusions.is_known(replica));
             let listed = model.values().filter(|server| server.listed.is_some()).count();
--- a/src/ops/maintenance_state/tests.rs
+++ b/src/ops/maintenance_state/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::interface::{Entry, ListKind, ReplicaId, State};
+use crate::interface::{EndpointListKind, EndpointState, ReplicaEntry, ReplicaId};
 use crate::ops::exclusions::Exclusions;
 
 const SECOND: u64 = 1_000_000;
@@ -65,14 +65,14 @@
     );
     let starts_slowly = |second: &u64| {
         let now = Timestamp::from_micros(READ.as_micros() + second * SECOND);
-        let mut entry = Entry {
+        let mut entry = ReplicaEntry {
             replica: ReplicaId(1),
-            state: State::InService,
-            ..Entry::default()
+            state: EndpointState::InService,
+            ..ReplicaEntry::default()
         };
-        exclusions.apply(ListKind::Partial, std::iter::once(&mut entry), now);
-        assert!(entry.started <= READ, "a start in the future");
-        entry.started > Timestamp::ZERO
+        exclusions.apply(EndpointListKind::Partial, std::iter::once(&mut entry), now);
+        assert!(entry.started_at <= READ, "a start in the future");
+        entry.started_at > Timestamp::ZERO
     };
     (0..2_000).take_while(starts_slowly).count() as u64
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -18,7 +18,8 @@
 /// Weight of a new outcome in the running means: about the last 32 count. Value: a design choice,
 /// not measured alone.
 const OUTCOME_SAMPLE_WEIGHT: f64 = 1.0 / 32.0;
-/// The part admitted grows back in so many objectives. Value: streams admitted show their pace only
+/// The part admitted grows back in so many objectives. Value: admitted streams show their token
+/// interval only
 /// at their end, several objectives later.
 const RECOVERY_OBJECTIVES: f64 = 16.0;
 /// The least part admitted. Value: a design choice; some have to be admitted to show a recovery.
@@ -67,7 +68,7 @@
         let objective = settings
             .classes
             .iter()
-            .map(|class| class.aim.as_secs_f64())
+            .map(|class| class.first_token_objective.as_secs_f64())
             .fold(f64::INFINITY, f64::min)
             .clamp(MIN_OBJECTIVE_SECONDS, MAX_OBJECTIVE_SECONDS);
         AdmissionControl {
@@ -102,7 +103,7 @@
             .or_insert_with(|| AdmissionControl::new(settings, now))
     }
 
-    /// The weight of a tenant's next request: 1 within its quota at this gateway, less beyond.
+    /// The weight of a tenant's next request: 1 within its quota at this router, less beyond.
     pub(super) fn tenant_weight(
         &mut self,
         settings: &Settings,
@@ -112,11 +113,11 @@
         let Some(credit) = self.quota_credits.get_mut(tenant) else {
             return 1.0;
         };
-        let rate = settings.quotas[tenant] / f64::from(settings.instances);
+        let rate = settings.quotas[tenant] / f64::from(settings.router_count);
         let longest_objective = settings
             .classes
             .iter()
-            .map(|class| class.aim.as_secs_f64())
+            .map(|class| class.first_token_objective.as_secs_f64())
             .fold(0.0, f64::max);
         let most = (rate * longest_objective).max(1.0);
         credit.requests = (credit.requests + rate * (now - credit.as_of).as_secs_f64()).min(most);
@@ -125,7 +126,7 @@
             credit.requests -= 1.0;
             1.0
         } else {
-            settings.over_share_worth
+            settings.over_quota_weight
         }
     }
 
--- a/src/policy/arrival.rs
+++ b/src/policy/arrival.rs
@@ -24,17 +24,17 @@
             return;
         };
         let due = first_token_due(&arrival, class, self.now);
-        let expires = if class.late_worth > 0.0 {
-            arrival.valid_until
+        let expires = if class.late_weight > 0.0 {
+            arrival.expires_at
         } else {
             due
         };
-        let retry_weight = if arrival.repeat {
+        let retry_weight = if arrival.is_retry {
             CLIENT_RETRY_WEIGHT
         } else {
             1.0
         };
-        let priority_weight = retry_weight * class.worth;
+        let priority_weight = retry_weight * class.priority_weight;
         // a session's next turn costs little where its prompt is cached, and so is shed last
         let cost = self.relative_cost(&arrival, self.cached_at(&arrival));
         let tenant_weight =
@@ -63,16 +63,15 @@
 /// When a request's first token is due: by its class's latency objective, which grows with the
 /// request's own work and its prompt, but never after the client gives up.
 fn first_token_due(arrival: &Arrival, class: &Class, now: Timestamp) -> Timestamp {
-    let stretched = class
-        .aim
-        .as_micros()
-        .saturating_add((class.aim_stretch * arrival.hint.as_micros() as f64) as u64);
+    let stretched = class.first_token_objective.as_micros().saturating_add(
+        (class.first_token_objective_stretch * arrival.expected_work.as_micros() as f64) as u64,
+    );
     let for_prompt = class
-        .aim_per_1000
+        .first_token_objective_per_1000_prompt_tokens
         .as_micros()
-        .saturating_mul(u64::from(arrival.prompt))
+        .saturating_mul(u64::from(arrival.prompt_tokens))
         / 1000;
     (now + Span::from_micros(stretched.min(class.deadline.as_micros()))
         + Span::from_micros(for_prompt))
-    .min(arrival.valid_until)
+    .min(arrival.expires_at)
 }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -4,17 +4,17 @@
 
 use super::balancer::{Balancer, LastTurn, SentPrefix};
 use super::estimators::running_mean;
-use super::in_flight::{Attempt, AttemptEnd, AttemptPhase};
+use super::in_flight::{Attempt, AttemptPhase};
 use super::measurements::REPLICA_SAMPLE_WEIGHT;
 use super::replica::AwaitedFirstToken;
 use super::replica_table::ReplicaIndex;
-use crate::interface::{Action, Arrival, Outcome, RequestId, Span};
+use crate::interface::{Action, Arrival, AttemptEnded, Outcome, RequestId, Span};
 
 /// A first token is overdue at this multiple of its predicted time. Value: a prefill model of a
 /// healthy replica errs by less.
 const OVERDUE_FACTOR: f64 = 2.0;
-/// A replica counts as full where its decode step takes this part of the pace. Value: a design
-/// choice below 1, as streams show a full replica seconds later.
+/// A replica counts as full where its decode step takes this part of the token interval objective.
+/// Value: a design choice below 1, as streams show a full replica seconds later.
 const FULL_STEP_PART: f64 = 0.7;
 /// Weight of a new request in the typical tokens of one: about the last 64 count. Value: a design
 /// choice, not measured alone.
@@ -53,17 +53,17 @@
         replica.in_flight += 1;
         replica.idle_connections.pop_back();
         request.attempts.push(attempt);
-        let give_up = (request.expires < arrival.valid_until).then(|| request.expires - self.now);
+        let timeout = (request.expires < arrival.expires_at).then(|| request.expires - self.now);
         let replica_id = replica.entry.replica;
-        out.push(Action::Send {
+        out.push(Action::StartAttempt {
             request: id,
             replica: replica_id,
-            give_up,
+            timeout,
         });
         if let Some(session) = arrival.session {
             let last_turn = LastTurn {
                 replica: replica_id,
-                prompt_tokens: arrival.prompt,
+                prompt_tokens: arrival.prompt_tokens,
             };
             self.last_turns.insert(session, last_turn);
         }
@@ -90,7 +90,7 @@
             self.dispatched_replicas.push(index);
         }
         replica.dispatched_tokens += uncached_tokens;
-        let model_load_time = replica.entry.models.ready_in(arrival.model);
+        let model_load_time = replica.entry.models.load_time(arrival.model);
         Attempt {
             replica: index,
             sent_at: self.now,
@@ -123,19 +123,21 @@
         let step = self
             .decode_step(attempt.replica)
             .min(self.decode_steps.full_step(self.now));
-        let pace = self.settings.classes[class as usize].pace.as_secs_f64();
-        self.record_admission_outcome(model, step <= FULL_STEP_PART * pace);
+        let token_interval = self.settings.classes[class as usize]
+            .token_interval_objective
+            .as_secs_f64();
+        self.record_admission_outcome(model, step <= FULL_STEP_PART * token_interval);
     }
 
     /// An attempt ended; only its first end counts.
-    pub(super) fn on_attempt_ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
+    pub(super) fn on_attempt_ended(&mut self, end: AttemptEnded, out: &mut Vec<Action>) {
         let id = end.request;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         let arrival = request.arrival;
         request.awaits_answer &= !end.request_complete;
-        let Some(attempt) = request.attempts.get_mut(end.attempt) else {
+        let Some(attempt) = request.attempts.get_mut(end.attempt as usize) else {
             return;
         };
         let ended = *attempt;
@@ -145,19 +147,19 @@
         attempt.phase = AttemptPhase::Ended {
             never_ran: end.outcome.never_ran(),
         };
-        self.remove_awaited(id, end.attempt, &ended);
+        self.remove_awaited(id, end.attempt as usize, &ended);
         let replica = &mut self.replicas[ended.replica];
         replica.in_flight_by_class[arrival.class as usize] -= 1;
         replica.in_flight -= 1;
-        if end.outcome == Outcome::Ok {
+        if end.outcome == Outcome::Completed {
             self.record_answer(&arrival, &ended, &end);
         }
         let replica = &mut self.replicas[ended.replica];
-        if end.concerns_replica() {
-            let failure = f64::from(u8::from(end.is_fault()));
+        if end.outcome.concerns_replica() {
+            let failure = f64::from(u8::from(end.outcome.is_fault()));
             running_mean::update(&mut replica.failure_rate, failure, REPLICA_SAMPLE_WEIGHT);
         }
-        if end.is_fault() {
+        if end.outcome.is_fault() {
             self.record_fault(ended.replica);
         } else if replica.in_flight == 0
             && replica.consecutive_failures == 0
@@ -165,7 +167,7 @@
         {
             self.set_maturity(ended.replica, self.now);
         }
-        self.retry_or_complete(id, end.is_fault(), out);
+        self.retry_or_complete(id, end.outcome.is_fault(), out);
         self.forget_if_finished(id);
     }
 
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -7,12 +7,12 @@
 
 use super::admission::AdmissionControl;
 use super::estimators::decode_steps::DecodeSteps;
-use super::estimators::load_report::FleetLoadMeans;
 use super::estimators::prefill_model::LinearModel;
 use super::estimators::prefix_cache::PrefixCacheModel;
+use super::estimators::replica_load::FleetLoadMeans;
 use super::estimators::throughput::FleetThroughput;
 use super::hash_ring::HashRing;
-use super::in_flight::{AttemptEnd, InFlightRequest};
+use super::in_flight::InFlightRequest;
 use super::list_poll_timer::ListPollTimer;
 use super::maturity_index::MaturityIndex;
 use super::replica_table::{ReplicaIndex, ReplicaTable};
@@ -26,11 +26,11 @@
 /// Uncached prompt tokens of a request before the first one was sent. Value: a design choice, soon
 /// replaced.
 const INITIAL_TYPICAL_TOKENS: f64 = 1000.0;
-/// The decode step taken at the start where no pace is set, as a part of the shortest objective.
-/// Value: a step has to be far within the objective.
+/// The decode step taken at the start where no token interval objective is set, as a part of the
+/// shortest objective. Value: a step has to be far within the objective.
 const INITIAL_STEP_PART: f64 = 1.0 / 8.0;
 
-/// The session's last turn that this gateway sent.
+/// The session's last turn that this router sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LastTurn {
     /// Where it was sent.
@@ -48,9 +48,9 @@
     pub(super) replica: ReplicaId,
 }
 
-/// The balancer of one gateway.
+/// The balancer of one router.
 pub struct Balancer {
-    /// The settings that the gateway started with.
+    /// The settings that the router started with.
     pub(super) settings: Settings,
     /// Every random draw comes from here.
     pub(super) rng: StdRng,
@@ -96,7 +96,7 @@
     pub(super) typical_tokens: f64,
 
     /// The shortest time between tokens that a class has as its objective, in seconds.
-    pub(super) shortest_pace: f64,
+    pub(super) shortest_token_interval: f64,
     /// Seconds after which a measurement counts for a part of 1/e.
     pub(super) decay_seconds: f64,
     /// The timer that was asked for and has not fired. Changed by `timers`.
@@ -107,13 +107,14 @@
     /// A balancer that knows nothing yet.
     pub fn new(settings: Settings, seed: u64, now: Timestamp) -> Balancer {
         let mut rng = StdRng::seed_from_u64(seed);
-        let shortest_pace = settings
+        let shortest_token_interval = settings
             .classes
             .iter()
-            .map(|class| class.pace.as_secs_f64())
+            .map(|class| class.token_interval_objective.as_secs_f64())
             .fold(f64::INFINITY, f64::min);
         let admission = AdmissionControl::new(&settings, now);
-        let initial = initial_prefill_model(&settings, shortest_pace, admission.objective());
+        let initial =
+            initial_prefill_model(&settings, shortest_token_interval, admission.objective());
         let list_poll_timer = ListPollTimer::new(&settings, rng.random(), now);
         let decay_seconds = DECAY_OBJECTIVES * admission.objective();
         let classes = settings.classes.len();
@@ -134,10 +135,10 @@
             sent_prefixes: LruMap::default(),
             prefix_cache: PrefixCacheModel::default(),
             throughput: FleetThroughput::new(initial, decay_seconds, now),
-            decode_steps: DecodeSteps::new(classes, shortest_pace / 2.0, decay_seconds),
+            decode_steps: DecodeSteps::new(classes, shortest_token_interval / 2.0, decay_seconds),
             fleet_load: FleetLoadMeans::default(),
             typical_tokens: INITIAL_TYPICAL_TOKENS,
-            shortest_pace,
+            shortest_token_interval,
             decay_seconds,
             timer: None,
             settings,
@@ -168,7 +169,7 @@
             self.handle_event(event, out);
         }
         if self.list_poll_timer.take_due(now) {
-            out.push(Action::Watch);
+            out.push(Action::WatchEndpoints);
         }
         self.dispatch_queue(out);
         self.schedule_timer(out);
@@ -176,50 +177,41 @@
 
     fn handle_event(&mut self, event: &Event, out: &mut Vec<Action>) {
         match *event {
-            Event::Members { kind, ref entries } => self.on_endpoint_list(kind, entries, out),
-            Event::Request(arrival) => self.on_arrival(arrival, out),
-            Event::First { request, trial, .. } => self.on_first_token(request, trial as usize),
-            Event::Gone { request } => self.on_client_disconnected(request),
-            Event::Ended {
-                request,
-                trial,
-                outcome,
-                took,
-                kept,
-                closed,
-                ..
+            Event::EndpointsUpdated { kind, ref entries } => {
+                self.on_endpoint_list(kind, entries, out);
+            }
+            Event::RequestReceived(arrival) => self.on_arrival(arrival, out),
+            Event::FirstToken {
+                request, attempt, ..
             } => {
-                let end = AttemptEnd {
-                    request,
-                    attempt: trial as usize,
-                    outcome,
-                    took,
-                    cached_tokens: kept,
-                    request_complete: closed,
-                };
-                self.on_attempt_ended(end, out);
+                self.on_first_token(request, attempt as usize);
             }
-            Event::Timer { .. } => self.on_timer(),
-            Event::Probed {
-                replica,
-                outcome,
-                report,
-                ..
-            } => self.on_health_check(replica, outcome, report),
-            Event::Peer { .. } => {}
+            Event::ClientDisconnected { request } => self.on_client_disconnected(request),
+            Event::AttemptEnded(end) => self.on_attempt_ended(end, out),
+            Event::TimerFired { .. } => self.on_timer(),
+            Event::HealthCheckEnded(end) => self.on_health_check(end),
+            Event::PeerMessage { .. } => {}
         }
     }
 }
 
 /// The model of a first token before any has come. Latency objectives allow for prefill, so their
 /// part per token is a first guess of its cost; the base is a decode step.
-fn initial_prefill_model(settings: &Settings, shortest_pace: f64, objective: f64) -> LinearModel {
+fn initial_prefill_model(
+    settings: &Settings,
+    shortest_token_interval: f64,
+    objective: f64,
+) -> LinearModel {
     let objective_per_1000 = settings
         .classes
         .iter()
-        .map(|class| class.aim_per_1000.as_secs_f64())
+        .map(|class| {
+            class
+                .first_token_objective_per_1000_prompt_tokens
+                .as_secs_f64()
+        })
         .fold(0.0, f64::max);
-    let base_seconds = shortest_pace.min(objective * INITIAL_STEP_PART);
+    let base_seconds = shortest_token_interval.min(objective * INITIAL_STEP_PART);
     LinearModel {
         seconds_per_token: objective_per_1000.max(base_seconds / 8.0) / 1000.0,
         base_seconds,
--- a/src/policy/cache_affinity.rs
+++ b/src/policy/cache_affinity.rs
@@ -20,7 +20,7 @@
 
     /// Prompt tokens that are left to prefill where this is cached.
     pub(super) fn uncached_by_estimate(&self, arrival: &Arrival, estimate: CacheEstimate) -> f64 {
-        (f64::from(arrival.prompt) - self.prefix_cache.expected_tokens(estimate)).max(1.0)
+        (f64::from(arrival.prompt_tokens) - self.prefix_cache.expected_tokens(estimate)).max(1.0)
     }
 
     /// The fleet's first-token time for this request where no replica of its session takes it, in
@@ -65,12 +65,12 @@
             } else {
                 CacheReason::SharedPrefix
             },
-            tokens: f64::from(arrival.shared),
+            tokens: f64::from(arrival.shared_prefix_tokens),
         }
     }
 
-    /// What a replica may have cached of a session's earlier turns: this gateway sent it the last
-    /// one, or it is the home of a session of which this gateway sent none.
+    /// What a replica may have cached of a session's earlier turns: this router sent it the last
+    /// one, or it is the home of a session of which this router sent none.
     fn session_estimate(
         &self,
         arrival: &Arrival,
@@ -81,18 +81,18 @@
             Some(turn) if turn.replica == self.replicas[index].entry.replica => {
                 Some(CacheEstimate {
                     reason: CacheReason::LastTurn,
-                    tokens: f64::from(turn.prompt_tokens.min(arrival.prompt)),
+                    tokens: f64::from(turn.prompt_tokens.min(arrival.prompt_tokens)),
                 })
             }
             None if self.session_home(arrival) == Some(index) => Some(CacheEstimate {
                 reason: CacheReason::SessionHome,
-                tokens: f64::from(arrival.prompt),
+                tokens: f64::from(arrival.prompt_tokens),
             }),
             _ => None,
         }
     }
 
-    /// The session's last turn that this gateway sent, unless it is long ago.
+    /// The session's last turn that this router sent, unless it is long ago.
     fn last_turn(&self, arrival: &Arrival) -> Option<LastTurn> {
         self.last_turns.get(&arrival.session?)
     }
@@ -103,7 +103,7 @@
         self.replica_index.get(&last.replica).copied()
     }
 
-    /// The session's home replica, the same at every gateway with the same endpoint list: the next
+    /// The session's home replica, the same at every router with the same endpoint list: the next
     /// one on the ring that has the model.
     fn session_home(&self, arrival: &Arrival) -> Option<ReplicaIndex> {
         let eligible = |index: ReplicaIndex| self.replicas[index].serves(arrival.model);
@@ -119,7 +119,7 @@
     }
 
     /// Where a prompt is likely cached: at the last turn's replica and at the session's home. A
-    /// shared prefix is soon cached everywhere and has no home, or every gateway would look for it
+    /// shared prefix is soon cached everywhere and has no home, or every router would look for it
     /// at one replica.
     pub(super) fn likely_cached_at(&self, arrival: &Arrival) -> [Option<ReplicaIndex>; 2] {
         [self.last_turn_replica(arrival), self.session_home(arrival)]
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -2,7 +2,7 @@
 
 use super::balancer::Balancer;
 use super::in_flight::{AttemptPhase, InFlightRequest};
-use crate::interface::{Action, Effect, Group, RequestId, Span};
+use crate::interface::{Action, DeduplicationScope, Idempotency, RequestId, Span};
 
 impl Balancer {
     /// Completes a request: rejects it, or fails it where a repeat may do harm, unless it has its
@@ -15,16 +15,16 @@
         if std::mem::replace(&mut request.awaits_answer, false) {
             let (model, class) = (request.arrival.model, request.arrival.class);
             let may_have_run = request.first_that_may_have_run().is_some();
-            let retry_in = self.retry_after(model);
+            let retry_after = self.retry_after(model);
             out.push(if self.client_may_repeat(class, may_have_run) {
-                Action::Refuse {
+                Action::Reject {
                     request: id,
-                    retry_in,
+                    retry_after,
                 }
             } else {
                 Action::Fail { request: id }
             });
-            if self.settings.cancel {
+            if self.settings.cancellation {
                 self.cancel_unstarted(id, out);
             }
         }
@@ -34,10 +34,12 @@
     /// Whether the client may repeat a request of this class without harm.
     fn client_may_repeat(&self, class: u32, may_have_run: bool) -> bool {
         let class = &self.settings.classes[class as usize];
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Keyed => class.group == Group::All || !may_have_run,
-            Effect::Unsafe => !may_have_run,
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed => {
+                class.deduplication_scope == DeduplicationScope::All || !may_have_run
+            }
+            Idempotency::NonIdempotent => !may_have_run,
         }
     }
 
@@ -56,9 +58,9 @@
         let attempts = self.requests.get(&id).map(|request| &request.attempts);
         for (number, attempt) in attempts.into_iter().flatten().enumerate() {
             if attempt.phase == AttemptPhase::AwaitingFirstToken {
-                out.push(Action::Cancel {
+                out.push(Action::CancelAttempt {
                     request: id,
-                    trial: number as u32,
+                    attempt: number as u32,
                 });
             }
         }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -48,9 +48,9 @@
             // nothing more: beside its tokens a batch costs them a step
             let step = self.decode_step(replica);
             let prefill = model.seconds_per_token * tokens + model.base_seconds.min(step);
-            let delay = maturity_delay(prefill, self.strictest_pace(replica), step);
+            let delay = maturity_delay(prefill, self.strictest_token_interval(replica), step);
             // where steps win nothing back the replica waits until the streams on it have ended
-            let at = delay.map_or(self.now + self.settings.warm_after, |seconds| {
+            let at = delay.map_or(self.now + self.settings.slow_start_duration, |seconds| {
                 self.now + Span::from_secs_f64(seconds)
             });
             self.set_maturity(replica, at);
--- a/src/policy/estimators/prefix_cache.rs
+++ b/src/policy/estimators/prefix_cache.rs
@@ -4,7 +4,7 @@
 use super::running_mean;
 
 /// Weight of a new answer in [`PrefixCacheModel::session_hit_rate`]: about the last eight count.
-/// Value: a gateway of hundreds makes some thirty attempts a day (docs/design/placement.md).
+/// Value: a router of hundreds makes some thirty attempts a day (docs/design/placement.md).
 const SESSION_SAMPLE_WEIGHT: f64 = 1.0 / 8.0;
 /// Weight of a new answer in the hit rate of a [`CacheReason`]: about the last 64 count.
 const REASON_SAMPLE_WEIGHT: f64 = 1.0 / 64.0;
@@ -15,13 +15,13 @@
 /// Why a replica may have a prompt, or its beginning, cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheReason {
-    /// Another gateway may have sent its shared prefix there.
+    /// Another router may have sent its shared prefix there.
     SharedPrefix,
-    /// This gateway sent its shared prefix there.
+    /// This router sent its shared prefix there.
     SentPrefix,
-    /// Other gateways send the session's turns to its home replica.
+    /// Other routers send the session's turns to its home replica.
     SessionHome,
-    /// This gateway sent the session's last turn there.
+    /// This router sent the session's last turn there.
     LastTurn,
 }
 
--- a/src/policy/estimators/load_report.rs
+++ b/src/policy/estimators/replica_load.rs
@@ -2,7 +2,7 @@
 //! is asked for is decided in `health_checks`.
 
 use super::running_mean;
-use crate::interface::{Field, Report, Span, Timestamp};
+use crate::interface::{LoadReport, Span, Timestamp};
 
 /// Weight of a new report in the fleet's means: about the last 32 count. Value: a design choice,
 /// not measured alone.
@@ -14,12 +14,12 @@
 /// A report that has not come after this time is asked for again. Value: a health check's time-out
 /// (0.4 s) and as long again.
 const REPORT_TIMEOUT: Span = Span::from_millis(800);
-/// Metrics of a report from this on count as unreadable. Value: beyond any load of one machine.
-const MAX_FIGURE: f64 = 1e9;
+/// Values of a report from this on count as unreadable. Value: beyond any load of one machine.
+const MAX_READABLE_VALUE: f64 = 1e9;
 
 /// The last load report of a replica.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LoadReport {
+pub struct ReplicaLoad {
     /// When the replica last answered a health check; zero before the first answer.
     answered_at: Timestamp,
     /// When the report that is awaited was asked for; zero where none is awaited.
@@ -41,7 +41,7 @@
     throughput: f64,
 }
 
-impl LoadReport {
+impl ReplicaLoad {
     /// Records an answer to a health check. Metrics that are missing, unreadable or out of range
     /// leave what was known before.
     ///
@@ -50,27 +50,21 @@
     /// Reports give the share of the slots, so it is the ratio to the fleet's mean that counts.
     pub fn record(
         &mut self,
-        report: Option<Report>,
-        fields: &[Field],
+        report: Option<LoadReport>,
         fleet: &mut FleetLoadMeans,
         now: Timestamp,
     ) {
         (self.answered_at, self.requested_at) = (now, Timestamp::ZERO);
         let Some(report) = report else { return };
-        let figure = |field: Field| {
-            let position = fields.iter().position(|f| *f == field)?;
-            report
-                .get(position)
-                .map(|&figure| f64::from(figure))
-                .filter(|figure| (0.0..MAX_FIGURE).contains(figure))
-        };
-        let (Some(utilisation), Some(throughput)) = (figure(Field::Util), figure(Field::Served))
-        else {
+        let (Some(utilisation), Some(throughput)) = (
+            readable(report.utilization),
+            readable(report.served_per_second),
+        ) else {
             return;
         };
         running_mean::update(&mut fleet.utilisation, utilisation, SAMPLE_WEIGHT);
         running_mean::update(&mut fleet.throughput, throughput, SAMPLE_WEIGHT);
-        if let Some(errors) = figure(Field::Errors) {
+        if let Some(errors) = readable(report.errors_per_second) {
             self.error_rate = errors / (errors + throughput).max(1.0);
         }
         (self.utilisation, self.throughput) = (utilisation, throughput);
@@ -118,5 +112,12 @@
     }
 }
 
+/// A value of a report, where it was reported and is in range.
+fn readable(value: Option<f32>) -> Option<f64> {
+    value
+        .map(f64::from)
+        .filter(|value| (0.0..MAX_READABLE_VALUE).contains(value))
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/policy/estimators/load_report/tests.rs
+++ b/src/policy/estimators/replica_load/tests.rs
@@ -1,16 +1,25 @@
 use super::*;
 
-const FIELDS: [Field; 4] = [Field::Errors, Field::Served, Field::Util, Field::Other];
+/// A report of errors and served requests a second, and of the part of the slots in use.
+fn report(errors: f32, served: f32, utilization: f32) -> LoadReport {
+    LoadReport {
+        errors_per_second: Some(errors),
+        served_per_second: Some(served),
+        utilization: Some(utilization),
+        ..LoadReport::default()
+    }
+}
+
 const NOW: Timestamp = Timestamp::from_secs(1);
 
 /// A replica's report after these, in a fleet of which a hundred others have reported.
-fn recorded(reports: &[Report]) -> (LoadReport, FleetLoadMeans) {
-    let (mut replica, mut fleet) = (LoadReport::default(), FleetLoadMeans::default());
+fn recorded(reports: &[LoadReport]) -> (ReplicaLoad, FleetLoadMeans) {
+    let (mut replica, mut fleet) = (ReplicaLoad::default(), FleetLoadMeans::default());
     for _ in 0..100 {
-        LoadReport::default().record(Some([0.0, 4.0, 0.1, 0.1]), &FIELDS, &mut fleet, NOW);
+        ReplicaLoad::default().record(Some(report(0.0, 4.0, 0.1)), &mut fleet, NOW);
     }
     for report in reports {
-        replica.record(Some(*report), &FIELDS, &mut fleet, NOW);
+        replica.record(Some(*report), &mut fleet, NOW);
     }
     (replica, fleet)
 }
@@ -22,25 +31,25 @@
         replica.slowness(&fleet, NOW, 1.0)
     };
     // twice the traffic in twice the slots, and next to none
-    assert!((slowness([0.0, 8.0, 0.2, 0.1]) - 1.0).abs() < 0.1);
-    assert!((slowness([0.0, 0.0, 0.0, 0.0]) - 1.0).abs() < 0.1);
-    assert!(slowness([0.0, 1.0, 0.4, 0.1]) > 3.0);
-    assert!(slowness([0.0, 4.0, 0.03, 0.1]) < 0.7);
+    assert!((slowness(report(0.0, 8.0, 0.2)) - 1.0).abs() < 0.1);
+    assert!((slowness(report(0.0, 0.0, 0.0)) - 1.0).abs() < 0.1);
+    assert!(slowness(report(0.0, 1.0, 0.4)) > 3.0);
+    assert!(slowness(report(0.0, 4.0, 0.03)) < 0.7);
 }
 
 #[test]
 fn bad_reports_change_nothing() {
-    let good = [0.0, 1.0, 0.4, 0.1];
+    let good = report(0.0, 1.0, 0.4);
     let before = recorded(&[good]);
     let nan = f32::NAN;
     for bad in [
-        [0.0, nan, 0.4, 0.0],
-        [0.0, 1.0, -3.0, 0.0],
-        [0.0, 1e12, 0.1, 0.0],
-        [nan; 4],
+        report(0.0, nan, 0.4),
+        report(0.0, 1.0, -3.0),
+        report(0.0, 1e12, 0.1),
+        report(nan, nan, nan),
     ] {
         let after = recorded(&[good, bad]);
-        let figures = |(replica, fleet): &(LoadReport, FleetLoadMeans)| {
+        let measurements = |(replica, fleet): &(ReplicaLoad, FleetLoadMeans)| {
             (
                 replica.slowness(fleet, NOW, 1.0),
                 replica.error_rate,
@@ -48,11 +57,11 @@
                 fleet.throughput,
             )
         };
-        assert_eq!(figures(&after), figures(&before), "{bad:?}");
+        assert_eq!(measurements(&after), measurements(&before), "{bad:?}");
     }
     let (mut replica, mut fleet) = before;
     let later = NOW + Span::from_secs(1);
-    replica.record(None, &FIELDS, &mut fleet, later);
+    replica.record(None, &mut fleet, later);
     // nor does it make an old report young again
     assert_eq!(
         replica.slowness(&fleet, later, 1.0),
@@ -62,7 +71,7 @@
 
 #[test]
 fn old_reports_decay() {
-    let (replica, fleet) = recorded(&[[0.0, 1.0, 0.4, 0.1]]);
+    let (replica, fleet) = recorded(&[report(0.0, 1.0, 0.4)]);
     let later =
         |seconds: u64| replica.slowness(&fleet, NOW + Span::from_micros(seconds * 1_000_000), 1.0);
     assert!(later(1) < later(0) && later(10) < 1.01);
@@ -71,9 +80,9 @@
 
 #[test]
 fn missing_reports_are_asked_again() {
-    let replica = LoadReport {
+    let replica = ReplicaLoad {
         requested_at: NOW,
-        ..LoadReport::default()
+        ..ReplicaLoad::default()
     };
     assert!(
         replica.is_awaited(NOW + Span::from_millis(500))
--- a/src/policy/estimators/throughput.rs
+++ b/src/policy/estimators/throughput.rs
@@ -1,6 +1,6 @@
 //! First-token times of the whole fleet and of each kind of machine, for a replica of size 1: one
 //! twice as large prefills twice as fast, so far as nothing else is known. A kind's model stands
-//! between the fleet's and a replica's own: a gateway of hundreds meets a replica too rarely to
+//! between the fleet's and a replica's own: a router of hundreds meets a replica too rarely to
 //! learn its speed, but has met its kind.
 
 use rustc_hash::FxHashMap;
--- a/src/policy/hash_ring.rs
+++ b/src/policy/hash_ring.rs
@@ -1,4 +1,4 @@
-//! A consistent hash ring of replicas. It gives each session a home replica on which all gateways
+//! A consistent hash ring of replicas. It gives each session a home replica on which all routers
 //! with the same endpoint list agree, and draws replicas by weight. It holds no load and no health.
 
 use super::replica_table::ReplicaIndex;
@@ -15,7 +15,7 @@
 pub(super) struct RingMember {
     /// Its index in the balancer's table of replicas.
     pub(super) index: ReplicaIndex,
-    /// The number by which all gateways know it.
+    /// The number by which all routers know it.
     pub(super) key: u64,
     /// Its size beside the mean of the fleet.
     pub(super) weight: f64,
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,10 +1,10 @@
 //! Health checks of candidates: a request's best candidates are asked for their load reports before
-//! one of them is selected. What a report shows is measured in `estimators::load_report`.
+//! one of them is selected. What a report shows is measured in `estimators::replica_load`.
 
 use super::balancer::Balancer;
 use super::replica_table::ReplicaIndex;
 use super::selection::Candidate;
-use crate::interface::{Action, Outcome, ReplicaId, Report, RequestId, Span};
+use crate::interface::{Action, HealthCheckEnded, Outcome, RequestId, Span};
 
 /// Candidates whose load is asked for ahead of one request. Value: two and four did worse on the
 /// platform's bench (docs/design/large-fleets.md).
@@ -18,7 +18,7 @@
 
 impl Balancer {
     /// The best candidate once the best few have reported their load: a report shows what all
-    /// gateways together do to a replica, of which each by itself learns too little and too late.
+    /// routers together do to a replica, of which each by itself learns too little and too late.
     /// None while reports are awaited.
     ///
     /// Candidates that have not answered within [`REPORT_WAIT_PART`] of the objective are passed
@@ -40,11 +40,10 @@
             for candidate in candidates {
                 request.candidates.push(candidate.replica);
                 let replica = &mut self.replicas[candidate.replica];
-                if !replica.has_recent_data(self.now, recent)
-                    && !replica.load_report.is_awaited(self.now)
+                if !replica.has_recent_data(self.now, recent) && !replica.load.is_awaited(self.now)
                 {
-                    replica.load_report.mark_requested(self.now);
-                    out.push(Action::Probe {
+                    replica.load.mark_requested(self.now);
+                    out.push(Action::CheckHealth {
                         replica: replica.entry.replica,
                     });
                 }
@@ -64,21 +63,15 @@
     }
 
     /// A health check ended.
-    pub(super) fn on_health_check(
-        &mut self,
-        replica: ReplicaId,
-        outcome: Outcome,
-        report: Option<Report>,
-    ) {
-        let Some(&index) = self.replica_index.get(&replica) else {
+    pub(super) fn on_health_check(&mut self, end: HealthCheckEnded) {
+        let Some(&index) = self.replica_index.get(&end.replica) else {
             return;
         };
-        let load_report = &mut self.replicas[index].load_report;
-        if outcome == Outcome::Ok {
-            let fields = &self.settings.report;
-            load_report.record(report, fields, &mut self.fleet_load, self.now);
+        let load = &mut self.replicas[index].load;
+        if end.outcome == Outcome::Completed {
+            load.record(end.load_report, &mut self.fleet_load, self.now);
         } else {
-            load_report.mark_failed();
+            load.mark_failed();
             self.record_fault(index);
         }
     }
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -3,7 +3,7 @@
 
 use super::estimators::prefix_cache::CacheEstimate;
 use super::replica_table::ReplicaIndex;
-use crate::interface::{Arrival, Outcome, RequestId, Span, Timestamp};
+use crate::interface::{Arrival, Span, Timestamp};
 
 /// What an attempt is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -36,35 +36,6 @@
     pub(super) phase: AttemptPhase,
 }
 
-/// How an attempt ended.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct AttemptEnd {
-    /// The request.
-    pub(super) request: RequestId,
-    /// The attempt's number.
-    pub(super) attempt: usize,
-    /// How.
-    pub(super) outcome: Outcome,
-    /// Time since the send.
-    pub(super) took: Span,
-    /// Prompt tokens that the replica reported as cached.
-    pub(super) cached_tokens: Option<u32>,
-    /// The request is complete with it.
-    pub(super) request_complete: bool,
-}
-
-impl AttemptEnd {
-    /// Whether the outcome says anything of the replica.
-    pub(super) fn concerns_replica(&self) -> bool {
-        !matches!(self.outcome, Outcome::Cancelled | Outcome::Moot)
-    }
-
-    /// Whether the outcome is a fault of the replica.
-    pub(super) fn is_fault(&self) -> bool {
-        self.concerns_replica() && self.outcome != Outcome::Ok
-    }
-}
-
 /// A request that is not complete, or has attempts in flight.
 pub(super) struct InFlightRequest {
     /// The request as it arrived.
@@ -116,7 +87,7 @@
 
     /// Attempts so far, with those that it had under earlier ids.
     pub(super) fn attempt_count(&self) -> usize {
-        self.attempts.len() + self.arrival.spent as usize
+        self.attempts.len() + self.arrival.prior_attempts as usize
     }
 
     /// The first attempt that may have run at a replica.
--- a/src/policy/list_poll_timer.rs
+++ b/src/policy/list_poll_timer.rs
@@ -3,9 +3,9 @@
 
 use crate::interface::{Settings, Span, Timestamp};
 
-/// What each gateway's poll takes of the time over which polls are spread after a failure. Value:
-/// so that all gateways' polls don't reach a discovery service, which is late already, at once.
-const SPREAD_PER_GATEWAY: Span = Span::from_millis(5);
+/// What each router's poll takes of the time over which polls are spread after a failure. Value:
+/// so that all routers' polls don't reach a discovery service, which is late already, at once.
+const SPREAD_PER_ROUTER: Span = Span::from_millis(5);
 /// The longest backoff after a failed poll, however many have failed and however large the fleet.
 /// Value: a change counts as notified 6 s after discovery could be reached: a poll that fails late
 /// (1 s), two such backoffs and another poll between them fit in.
@@ -17,7 +17,7 @@
 /// time allowed or more and the longest 1/2 of it or less, so five doublings reach the longest.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// The timer of one gateway's polls.
+/// The timer of one router's polls.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListPollTimer {
     enabled: bool,
@@ -29,12 +29,12 @@
 
 impl ListPollTimer {
     /// The first poll comes within a quarter of the time allowed and [`MAX_FIRST_DELAY`], by a
-    /// uniform draw from 0 to 1, so that gateways which start together don't poll together.
+    /// uniform draw from 0 to 1, so that routers which start together don't poll together.
     pub(super) fn new(settings: &Settings, uniform: f64, now: Timestamp) -> ListPollTimer {
-        let allowed = settings.must_ask_in.as_micros();
+        let allowed = settings.staleness_bound.as_micros();
         let max_backoff = MAX_BACKOFF.min(Span::from_micros(allowed / 2));
         let spread =
-            (allowed / 64).max(SPREAD_PER_GATEWAY.as_micros() * u64::from(settings.instances));
+            (allowed / 64).max(SPREAD_PER_ROUTER.as_micros() * u64::from(settings.router_count));
         let first = now
             + Span::from_secs_f64(
                 uniform
@@ -43,11 +43,11 @@
                         .as_secs_f64(),
             );
         ListPollTimer {
-            enabled: settings.ask,
+            enabled: settings.endpoints_on_request,
             min_backoff: Span::from_micros(spread).min(max_backoff),
             max_backoff,
             consecutive_failures: 0,
-            next: settings.ask.then_some(first),
+            next: settings.endpoints_on_request.then_some(first),
         }
     }
 
--- a/src/policy/list_poll_timer/tests.rs
+++ b/src/policy/list_poll_timer/tests.rs
@@ -9,9 +9,9 @@
 
 fn timer(instances: u32, must_ask_in: u64, draw: f64) -> ListPollTimer {
     let set = Settings {
-        ask: true,
-        instances,
-        must_ask_in: Span::from_micros(must_ask_in),
+        endpoints_on_request: true,
+        router_count: instances,
+        staleness_bound: Span::from_micros(must_ask_in),
         ..Settings::default()
     };
     ListPollTimer::new(&set, draw, Timestamp::ZERO)
@@ -46,7 +46,7 @@
     }
 }
 
-/// Hundreds of gateways whose polls all failed in one moment ask again spread over most of a
+/// Hundreds of routers whose polls all failed in one moment ask again spread over most of a
 /// second, not at once.
 #[test]
 fn polls_spread_after_failures() {
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -3,11 +3,11 @@
 use super::balancer::Balancer;
 use super::estimators::decode_steps::StreamSample;
 use super::estimators::throughput::PrefillSample;
-use super::in_flight::{Attempt, AttemptEnd, AttemptPhase};
+use super::in_flight::{Attempt, AttemptPhase};
 use super::replica_table::ReplicaIndex;
-use crate::interface::Arrival;
+use crate::interface::{Arrival, AttemptEnded};
 
-/// Weight of a new sample in a replica's own figures: about the last eight count. Value: a gateway
+/// Weight of a new sample in a replica's own figures: about the last eight count. Value: a router
 /// of many sees few of one replica.
 pub(super) const REPLICA_SAMPLE_WEIGHT: f64 = 1.0 / 8.0;
 
@@ -20,17 +20,22 @@
     }
 
     /// Records what a whole answer shows of prefill, decode steps and the prompt's cached part.
-    pub(super) fn record_answer(&mut self, arrival: &Arrival, attempt: &Attempt, end: &AttemptEnd) {
+    pub(super) fn record_answer(
+        &mut self,
+        arrival: &Arrival,
+        attempt: &Attempt,
+        end: &AttemptEnded,
+    ) {
         let index = attempt.replica;
         self.replicas[index].idle_connections.push_back(self.now);
         // what was prefilled is known at an answer's end; a sample taken before would fit prefill
         // that was not done, or that was thought spared
         let prefilled = end.cached_tokens.map_or(attempt.uncached_tokens, |cached| {
-            f64::from(arrival.prompt.saturating_sub(cached).max(1))
+            f64::from(arrival.prompt_tokens.saturating_sub(cached).max(1))
         });
         let first_token_after = match attempt.phase {
             AttemptPhase::Streaming { since } => since - attempt.sent_at,
-            _ => end.took,
+            _ => end.elapsed,
         };
         // a model's load is no prefill
         if attempt.model_load_time.is_zero() {
@@ -42,15 +47,19 @@
         }
         if let Some(cached) = end.cached_tokens {
             let estimate = attempt.cache_estimate;
-            self.prefix_cache
-                .record(estimate, arrival.prompt, arrival.shared, cached);
+            self.prefix_cache.record(
+                estimate,
+                arrival.prompt_tokens,
+                arrival.shared_prefix_tokens,
+                cached,
+            );
         }
     }
 
     /// Records a first-token time of a replica.
     fn record_prefill(&mut self, index: ReplicaIndex, tokens: f64, seconds: f64) {
         let replica = &mut self.replicas[index];
-        let (kind, size) = (replica.entry.kind, replica.size());
+        let (kind, size) = (replica.entry.machine_kind, replica.size());
         let sample = PrefillSample {
             kind,
             size,
@@ -72,7 +81,7 @@
     fn record_stream(&mut self, index: ReplicaIndex, arrival: &Arrival, seconds: f64) {
         let stream = StreamSample {
             class: arrival.class as usize,
-            token_limit: arrival.cap,
+            token_limit: arrival.max_output_tokens,
             seconds,
             slowness: self.slowness(index),
         };
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -8,23 +8,23 @@
 use super::hash_ring::{HashRing, RingMember};
 use super::replica::ReplicaState;
 use super::replica_table::ReplicaIndex;
-use crate::interface::{Action, Entry, ListKind, RequestId, Span};
+use crate::interface::{Action, EndpointListKind, ReplicaEntry, RequestId, Span};
 
 impl Balancer {
     /// The endpoint list came, or a change to it, or a poll for it failed.
     pub(super) fn on_endpoint_list(
         &mut self,
-        kind: ListKind,
-        entries: &[Entry],
+        kind: EndpointListKind,
+        entries: &[ReplicaEntry],
         out: &mut Vec<Action>,
     ) {
-        if kind == ListKind::Error {
+        if kind == EndpointListKind::Error {
             self.list_poll_timer
                 .poll_failed(self.rng.random(), self.now);
             return;
         }
         self.list_poll_timer.poll_succeeded();
-        if kind != ListKind::Partial {
+        if kind != EndpointListKind::Partial {
             for replica in self.replicas.iter_mut() {
                 replica.listed = false;
             }
@@ -57,10 +57,10 @@
             weight: self.throughput.relative_to_mean(replica.size()),
         }));
         let last_start = in_service()
-            .map(|(_, replica)| replica.entry.started)
+            .map(|(_, replica)| replica.entry.started_at)
             .filter(|started| !started.is_zero())
             .max();
-        self.all_warm_at = last_start.map_or(self.now, |at| at + self.settings.warm_after);
+        self.all_warm_at = last_start.map_or(self.now, |at| at + self.settings.slow_start_duration);
     }
 
     /// Completes queued requests that no replica can serve any more: waiting for a model that has
@@ -91,20 +91,20 @@
     }
 
     /// Takes over a replica's entry. One that is new or has restarted loses what was measured.
-    fn update_entry(&mut self, entry: &Entry) {
-        let rating = if self.settings.sized {
-            entry.rating
+    fn update_entry(&mut self, entry: &ReplicaEntry) {
+        let rating = if self.settings.weights_are_sizes {
+            entry.weight
         } else {
             1.0
         };
-        let entry = Entry {
-            rating,
+        let entry = ReplicaEntry {
+            weight: rating,
             ..entry.clone()
         };
         let known = self.replica_index.get(&entry.replica).copied();
         if let Some(index) = known {
             let replica = &mut self.replicas[index];
-            let same_incarnation = replica.entry.started == entry.started;
+            let same_incarnation = replica.entry.started_at == entry.started_at;
             replica.entry = entry.clone();
             replica.listed = true;
             if same_incarnation {
--- a/src/policy/predictions.rs
+++ b/src/policy/predictions.rs
@@ -10,8 +10,8 @@
 /// A replica's slowness beside the fleet decays so many times later than the fleet's figures.
 /// Value: a design choice, as kinds of machines don't change.
 const SLOWNESS_DECAY_FACTOR: f64 = 4.0;
-/// The pace taken where nothing is queued or streams, as a multiple of the shortest. Value: beyond
-/// any pace, so that it limits nothing.
+/// The token interval objective assumed where nothing is queued or streams, as a multiple of the
+/// shortest. Value: beyond any objective, so that it limits nothing.
 const UNLIMITED_PACE_FACTOR: f64 = 1e3;
 
 impl Balancer {
@@ -26,21 +26,26 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// The strictest pace of our requests on a replica, else of those queued, in seconds.
-    pub(super) fn strictest_pace(&self, index: ReplicaIndex) -> f64 {
-        let in_flight = self.strictest(&self.replicas[index].in_flight_by_class, |c| c.pace);
+    /// The shortest token interval objective of our requests on a replica, else of those queued, in
+    /// seconds.
+    pub(super) fn strictest_token_interval(&self, index: ReplicaIndex) -> f64 {
+        let in_flight = self.strictest(&self.replicas[index].in_flight_by_class, |c| {
+            c.token_interval_objective
+        });
         if in_flight.is_finite() {
             in_flight
         } else {
-            self.strictest(self.queue.by_class(), |class| class.pace)
-                .min(self.shortest_pace * UNLIMITED_PACE_FACTOR)
+            self.strictest(self.queue.by_class(), |class| {
+                class.token_interval_objective
+            })
+            .min(self.shortest_token_interval * UNLIMITED_PACE_FACTOR)
         }
     }
 
     /// Seconds of a replica's decode step.
     pub(super) fn decode_step(&self, index: ReplicaIndex) -> f64 {
         let step = self.decode_steps.full_step(self.now);
-        (step * self.slowness(index)).max(self.shortest_pace / 2.0)
+        (step * self.slowness(index)).max(self.shortest_token_interval / 2.0)
     }
 
     /// How slow a replica's decode steps are beside the fleet's.
@@ -62,17 +67,17 @@
         let replica = &self.replicas[index];
         let slowness =
             replica
-                .load_report
+                .load
                 .slowness(&self.fleet_load, self.now, self.slowness_decay_seconds());
         let prior = self
             .throughput
-            .model_for(replica.entry.kind, replica.size(), self.now);
+            .model_for(replica.entry.machine_kind, replica.size(), self.now);
         replica
             .prefill_model
             .decayed_towards(prior.scaled(slowness), self.measurement_age(index))
     }
 
-    /// How long ago this gateway measured a replica's first token, in spans over which that decays;
+    /// How long ago this router measured a replica's first token, in spans over which that decays;
     /// infinite where it never did, so that what the load report shows counts in full.
     pub(super) fn measurement_age(&self, index: ReplicaIndex) -> f64 {
         let replica = &self.replicas[index];
@@ -85,13 +90,13 @@
 
     /// Prompt tokens that a replica may be sent in one step.
     pub(super) fn slack_budget(&self, index: ReplicaIndex) -> f64 {
-        let objective = self.strictest(self.queue.by_class(), |class| class.aim);
+        let objective = self.strictest(self.queue.by_class(), |class| class.first_token_objective);
         let model = self.prefill_model(index);
         slack_budget(
             model,
             model.seconds(self.typical_tokens),
             objective,
-            self.strictest_pace(index),
+            self.strictest_token_interval(index),
             self.decode_step(index),
         )
     }
--- a/src/policy/replica.rs
+++ b/src/policy/replica.rs
@@ -1,13 +1,13 @@
-//! The state of one replica as this gateway sees it: its entry in the endpoint list, the attempts
+//! The state of one replica as this router sees it: its entry in the endpoint list, the attempts
 //! in flight there, and what was measured of it. Which fields change where: `membership` (entry,
 //! listed), `attempts` (in flight), `maturity` (maturity, failures), `estimators` (the rest).
 
 use std::collections::VecDeque;
 
-use super::estimators::load_report::LoadReport;
 use super::estimators::prefill_model::{LinearFit, LinearModel};
+use super::estimators::replica_load::ReplicaLoad;
 use super::estimators::step_time::StepTimeSums;
-use crate::interface::{Entry, RequestId, Span, State, Timestamp};
+use crate::interface::{EndpointState, ReplicaEntry, RequestId, Span, Timestamp};
 
 /// An attempt whose first token has not come.
 #[derive(Clone, Copy, Debug)]
@@ -20,11 +20,11 @@
     pub(super) overdue_at: Timestamp,
 }
 
-/// A replica as this gateway sees it.
+/// A replica as this router sees it.
 #[derive(Default)]
 pub(super) struct ReplicaState {
     /// Its entry in the endpoint list, as it last had one.
-    pub(super) entry: Entry,
+    pub(super) entry: ReplicaEntry,
     /// Whether it is in the endpoint list.
     pub(super) listed: bool,
     /// First-token times measured here.
@@ -33,7 +33,7 @@
     pub(super) prefill_model: LinearModel,
     /// When the last of them was taken in.
     pub(super) measured_at: Timestamp,
-    /// Whether an attempt of this gateway ever had a first token here.
+    /// Whether an attempt of this router ever had a first token here.
     pub(super) has_answered: bool,
     /// Decode steps measured here, beside the fleet's.
     pub(super) step_time: StepTimeSums,
@@ -58,34 +58,34 @@
     /// Uncached prompt tokens sent to it since its maturity was last set.
     pub(super) dispatched_tokens: f64,
     /// Its last load report.
-    pub(super) load_report: LoadReport,
+    pub(super) load: ReplicaLoad,
 }
 
 impl ReplicaState {
     /// Whether the endpoint list has it in service.
     pub(super) fn is_in_service(&self) -> bool {
-        self.listed && self.entry.state == State::InService
+        self.listed && self.entry.state == EndpointState::InService
     }
 
     /// Whether it is listed and not withdrawn.
     pub(super) fn is_present(&self) -> bool {
-        self.listed && self.entry.state != State::Terminated
+        self.listed && self.entry.state != EndpointState::Removed
     }
 
     /// Whether it serves a model, loaded or not.
     pub(super) fn serves(&self, model: u32) -> bool {
-        self.entry.models.ready_in(model).is_some()
+        self.entry.models.load_time(model).is_some()
     }
 
     /// Whether a load report or a first token of it is younger than `age`.
     pub(super) fn has_recent_data(&self, now: Timestamp, age: Span) -> bool {
-        self.load_report.is_recent(now, age) || (self.has_answered && now - self.measured_at < age)
+        self.load.is_recent(now, age) || (self.has_answered && now - self.measured_at < age)
     }
 
     /// Its size beside the others', as the endpoint list has it; 1 where the list has none.
     pub(super) fn size(&self) -> f64 {
-        if self.entry.rating > 0.0 {
-            self.entry.rating
+        if self.entry.weight > 0.0 {
+            self.entry.weight
         } else {
             1.0
         }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -4,7 +4,7 @@
 use super::balancer::Balancer;
 use super::in_flight::Attempt;
 use super::replica_table::ReplicaIndex;
-use crate::interface::{Action, Class, Effect, Group, RequestId};
+use crate::interface::{Action, Class, DeduplicationScope, Idempotency, RequestId};
 
 impl Balancer {
     /// Whether the rules allow a send of this request to this replica now: attempts are left, none
@@ -17,7 +17,7 @@
         let class = &self.settings.classes[request.arrival.class as usize];
         let replica = &self.replicas[index];
         let attempts_left = request.attempt_count() < self.settings.max_attempts as usize;
-        let alone = self.settings.second_copies || !request.has_attempt_in_flight();
+        let alone = self.settings.hedged_requests || !request.has_attempt_in_flight();
         let harmless = request
             .first_that_may_have_run()
             .is_none_or(|first| self.is_harmless_repeat(class, first, index));
@@ -33,18 +33,20 @@
     /// Whether a repeat at a replica does no harm, though `first` may have run: it is idempotent by
     /// itself, or the replicas that share its idempotency key drop it, within their window.
     fn is_harmless_repeat(&self, class: &Class, first: &Attempt, index: ReplicaIndex) -> bool {
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed => {
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed => {
                 let first_at = &self.replicas[first.replica].entry;
                 let here = &self.replicas[index].entry;
-                let shares_keys = match class.group {
-                    Group::All => true,
-                    Group::Zone => first_at.zone == here.zone,
-                    Group::Cell => first_at.zone == here.zone && first_at.cell == here.cell,
+                let shares_keys = match class.deduplication_scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => first_at.zone == here.zone,
+                    DeduplicationScope::Cell => {
+                        first_at.zone == here.zone && first_at.cell == here.cell
+                    }
                 };
-                shares_keys && self.now - first.sent_at < class.window
+                shares_keys && self.now - first.sent_at < class.deduplication_window
             }
         }
     }
@@ -59,8 +61,9 @@
         }
         let arrival = request.arrival;
         let attempts_left = request.attempt_count() < self.settings.max_attempts as usize;
-        let effect = self.settings.classes[arrival.class as usize].effect;
-        let repeatable = effect != Effect::Unsafe || request.first_that_may_have_run().is_none();
+        let effect = self.settings.classes[arrival.class as usize].idempotency;
+        let repeatable =
+            effect != Idempotency::NonIdempotent || request.first_that_may_have_run().is_none();
         if failed && attempts_left && self.now < request.due && repeatable {
             let slot = self.draw_slow_start_slot();
             if let Some(request) = self.requests.get_mut(&id) {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -34,7 +34,7 @@
 /// The same where the request has no time to spare: below 1 the large replicas are taken first.
 /// Value: as above.
 const URGENT_SIZE_EXPONENT: f64 = 0.5;
-/// The same where no load reports correct what the preferences of all gateways add up to: size
+/// The same where no load reports correct what the preferences of all routers add up to: size
 /// counts in the draw alone. Value: follows from the draw by size.
 const NEUTRAL_SIZE_EXPONENT: f64 = 1.0;
 /// The most by which a random draw changes a cost, as a part of it. Value: breaks ties only.
@@ -85,7 +85,7 @@
             }
         }
         candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        let best = if self.settings.probes {
+        let best = if self.settings.health_checks {
             self.select_reported(id, &candidates, out)
         } else {
             candidates.first().map(|candidate| candidate.replica)
@@ -139,7 +139,7 @@
     fn cost(&self, arrival: &Arrival, replica: ReplicaIndex, remaining: f64) -> Option<f64> {
         let tokens = self.uncached_tokens(arrival, Some(replica));
         let state = &self.replicas[replica];
-        let load = state.entry.models.ready_in(arrival.model)?;
+        let load = state.entry.models.load_time(arrival.model)?;
         let overdue = state
             .awaited
             .front()
@@ -149,7 +149,7 @@
             return None;
         }
         let objective = self.settings.classes[arrival.class as usize]
-            .aim
+            .first_token_objective
             .as_secs_f64();
         let wait = (state.maturity - self.now).as_secs_f64();
         let model = self.prefill_model(replica);
@@ -166,12 +166,12 @@
     }
 
     /// The power of a replica's size by which predicted times are compared. A request with time to
-    /// spare leaves the large replicas to those in need of them; what this gateway has seen of a
+    /// spare leaves the large replicas to those in need of them; what this router has seen of a
     /// replica lately needs no such preference.
     fn size_exponent(&self, arrival: &Arrival, replica: ReplicaIndex, remaining: f64) -> f64 {
         let has_spare_time =
             self.uncached_first_token_seconds(arrival) < SPARE_TIME_PART * remaining;
-        let exponent = match (self.settings.probes, has_spare_time) {
+        let exponent = match (self.settings.health_checks, has_spare_time) {
             (false, _) => NEUTRAL_SIZE_EXPONENT,
             (true, true) => SPARE_SIZE_EXPONENT,
             (true, false) => URGENT_SIZE_EXPONENT,
@@ -187,18 +187,18 @@
         let crossing = if state.entry.zone == self.settings.zone {
             0.0
         } else {
-            ZONE_CROSSING_WEIGHT * self.settings.cross_price
+            ZONE_CROSSING_WEIGHT * self.settings.cross_zone_cost
         };
         let has_idle_connection = state
             .idle_connections
             .back()
-            .is_some_and(|&since| self.now - since < self.settings.conn_idle);
+            .is_some_and(|&since| self.now - since < self.settings.idle_connection_timeout);
         let handshake = if has_idle_connection {
             0.0
         } else {
-            self.settings.handshake_price
+            self.settings.connection_cost
         };
-        let error_rate = state.failure_rate.max(state.load_report.error_rate());
+        let error_rate = state.failure_rate.max(state.load.error_rate());
         crossing + handshake + FAILURE_PRICE * error_rate
     }
 }
--- a/src/policy/slack_budget.rs
+++ b/src/policy/slack_budget.rs
@@ -7,10 +7,10 @@
 const MIN_SECONDS_PER_TOKEN: f64 = 1e-9;
 
 /// Seconds until a replica is mature again after `prefill` seconds of prefill: those, and the
-/// decode steps of `step` seconds that win them back at `pace` seconds between tokens. None where
-/// steps win nothing back.
-pub fn maturity_delay(prefill: f64, pace: f64, step: f64) -> Option<f64> {
-    (pace > step).then(|| prefill + prefill / (pace - step) * step)
+/// decode steps of `step` seconds that win them back at `token_interval` seconds between tokens.
+/// None where steps win nothing back.
+pub fn maturity_delay(prefill: f64, token_interval: f64, step: f64) -> Option<f64> {
+    (token_interval > step).then(|| prefill + prefill / (token_interval - step) * step)
 }
 
 /// The largest number of tokens whose maturity delay, plus the `next_prefill` seconds of a request
@@ -19,11 +19,11 @@
     model: LinearModel,
     next_prefill: f64,
     objective: f64,
-    pace: f64,
+    token_interval: f64,
     step: f64,
 ) -> f64 {
-    let prefill = (objective - next_prefill) * (pace - step) / pace;
-    if pace > step && prefill > model.base_seconds {
+    let prefill = (objective - next_prefill) * (token_interval - step) / token_interval;
+    if token_interval > step && prefill > model.base_seconds {
         (prefill - model.base_seconds) / model.seconds_per_token.max(MIN_SECONDS_PER_TOKEN)
     } else {
         0.0
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -14,7 +14,8 @@
     pub(super) fn schedule_timer(&mut self, out: &mut Vec<Action>) {
         let head = self.queue.first();
         // a queued request that no mature replica took: what it waits for may change soon
-        let recheck = (self.shortest_pace / 2.0).min(REPORT_WAIT_PART * self.admission.objective());
+        let recheck =
+            (self.shortest_token_interval / 2.0).min(REPORT_WAIT_PART * self.admission.objective());
         let recheck = head
             .filter(|_| self.maturity.any_mature())
             .map(|_| self.now + Span::from_secs_f64(recheck));
@@ -26,12 +27,12 @@
             next_maturity,
         ];
         let at = next.into_iter().flatten().min();
-        let Some(at) = at.map(|at| at.max(self.now + self.settings.period)) else {
+        let Some(at) = at.map(|at| at.max(self.now + self.settings.step_interval)) else {
             return;
         };
         if self.timer.is_none_or(|set| set > at) {
             self.timer = Some(at);
-            out.push(Action::Timer { at, mark: 0 });
+            out.push(Action::SetTimer { at, timer_id: 0 });
         }
     }
 }
--- a/src/router/open/actors.rs
+++ b/src/router/open/actors.rs
@@ -15,6 +15,7 @@
 use crate::core::{CoreHandle, DiscoveryCommand, Message};
 use crate::edge::Edge;
 use crate::error::RunError;
+use crate::interface::ReplicaId;
 use crate::lifecycle::{DrainingSince, Lifecycle};
 use crate::net::connection_limit::ConnectionLimit;
 use crate::net::discovery::endpoint_list::EndpointList;
@@ -23,7 +24,6 @@
 use crate::ops::maintenance_state::MaintenanceState;
 use crate::ops::metrics::Metrics;
 use crate::router::Reloader;
-use crate::wire::replica_id;
 
 /// Commands to the source of the endpoint list that wait at most.
 const RESOLVER_QUEUE_LENGTH: usize = 4;
@@ -115,7 +115,7 @@
     let connector = upstream::TcpConnector {
         options: upstream::Options {
             connect_timeout: config.connect_timeout,
-            server_idle_timeout: Duration::from(config.settings.conn_idle),
+            server_idle_timeout: Duration::from(config.settings.idle_connection_timeout),
             load_report_names: config.load_report_names.clone(),
         },
         connection_limit: server_sockets,
@@ -133,7 +133,7 @@
         connector: Box::new(connector),
         discovery: resolver,
         exclusions: exclusions
-            .map(|exclusion| (replica_id(&exclusion.name), exclusion.clone()))
+            .map(|exclusion| (ReplicaId::from_name(&exclusion.name), exclusion.clone()))
             .collect(),
         figures,
     });
--- a/src/router/open/edge.rs
+++ b/src/router/open/edge.rs
@@ -79,6 +79,6 @@
         .quotas
         .extend(tenants.iter().map(|tenant| tenant.share));
     if settings.quotas.len() == tenants.len() {
-        settings.over_share_worth = book.over_share_worth;
+        settings.over_quota_weight = book.over_share_worth;
     }
 }
--- a/src/router/open/endpoints.rs
+++ b/src/router/open/endpoints.rs
@@ -8,7 +8,7 @@
 
 use crate::config::Config;
 use crate::core::{DiscoveryCommand, Message};
-use crate::interface::ListKind;
+use crate::interface::EndpointListKind;
 use crate::inventory;
 use crate::net::discovery::endpoint_list::EndpointList;
 use crate::net::discovery::watcher;
@@ -45,7 +45,7 @@
         .as_ref()
         .map_or(0, EndpointList::revision);
     if let Some(known) = config.known_endpoints.take() {
-        let known = known.resolved(ListKind::Persisted, &config.localities);
+        let known = known.resolved(EndpointListKind::Persisted, &config.localities);
         info!(
             "{}: starting on {} known model servers",
             config.name,
@@ -64,7 +64,7 @@
         revision,
         localities: config.localities.clone(),
         poll_at_start: has_predecessor,
-        pushed: !config.settings.ask,
+        pushed: !config.settings.endpoints_on_request,
         // spread over the routers by their seeds
         timeout_retry_delay: watcher::MAX_TIMEOUT_RETRY_DELAY
             .mul_f64(config.seed as f64 / u64::MAX as f64),
--- a/src/router/open/mod.rs
+++ b/src/router/open/mod.rs
@@ -63,7 +63,7 @@
     let inventory = inventory.or_else(|| batch.as_ref().and_then(|b| b.inventory.clone()));
     if inventory.is_some() {
         // the file's changes are noticed here, so the decision module need not poll
-        config.settings.ask = false;
+        config.settings.endpoints_on_request = false;
     }
     let edge_file = EdgeFile::load(edge, &mut config, batch.is_some())?;
     let actors = Actors::start(
--- a/src/routing/model_inventory.rs
+++ b/src/routing/model_inventory.rs
@@ -5,22 +5,22 @@
 use rustc_hash::FxHashMap;
 
 use super::Catalog;
-use crate::interface::{Models, ReplicaId, Span, State, Timestamp};
+use crate::interface::{EndpointState, ReplicaId, ServedModel, ServedModels, Span, Timestamp};
 
-/// Models that a host's word may hold; the rest of a longer one is not read.
+/// ServedModels that a host's word may hold; the rest of a longer one is not read.
 const MAX_REPORTED_MODELS: usize = 4096;
 
 /// The list and a host differ in what it has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InventoryMismatch {
-    /// Models of the list that the host does not tell of.
+    /// ServedModels of the list that the host does not tell of.
     pub missing: Vec<String>,
-    /// Models that it tells of and the list does not name.
+    /// ServedModels that it tells of and the list does not name.
     pub unlisted: Vec<String>,
 }
 
 struct HostModels {
-    state: State,
+    state: EndpointState,
     started: Timestamp,
     listed: Option<Vec<String>>,
     reported: Option<Vec<String>>,
@@ -40,11 +40,11 @@
     pub fn set_listed(
         &mut self,
         replica: ReplicaId,
-        state: State,
+        state: EndpointState,
         started: Timestamp,
         models: Option<&[String]>,
     ) {
-        if state == State::Terminated {
+        if state == EndpointState::Removed {
             self.hosts.remove(&replica);
             return;
         }
@@ -106,17 +106,22 @@
     /// What a host serves of these catalogs (the one in force, and those that something under way
     /// still goes by), for the decision module. A host of which nothing is known is taken to have
     /// every base model.
-    pub fn servable_models(&self, replica: ReplicaId, catalogs: &[Arc<Catalog>]) -> Models {
+    pub fn servable_models(&self, replica: ReplicaId, catalogs: &[Arc<Catalog>]) -> ServedModels {
         let Some(host) = self.hosts.get(&replica) else {
-            return Models::only([]);
+            return ServedModels::only([]);
         };
-        Models::only(catalogs.iter().flat_map(|c| host.has(c)))
+        let models = catalogs.iter().flat_map(|catalog| host.has(catalog));
+        ServedModels::only(models.map(|(model, load_time)| ServedModel { model, load_time }))
     }
 
     /// Counts anew who has what. To be called after news, ahead of [`ModelInventory::host_count`].
     pub fn recount_hosts(&mut self, catalogs: &[Arc<Catalog>]) {
         self.counts.clear();
-        for host in self.hosts.values().filter(|h| h.state == State::InService) {
+        for host in self
+            .hosts
+            .values()
+            .filter(|h| h.state == EndpointState::InService)
+        {
             let mut numbers: Vec<u32> = catalogs
                 .iter()
                 .flat_map(|c| host.has(c))
@@ -193,13 +198,13 @@
         let mut inventory = ModelInventory::default();
         inventory.set_listed(
             id,
-            State::InService,
+            EndpointState::InService,
             Timestamp::from_micros(5),
             Some(&names(&["small", "large"])),
         );
         let models = inventory.servable_models(id, &catalog);
         assert_eq!(
-            [1, 2, 3].map(|m| models.ready_in(m)),
+            [1, 2, 3].map(|m| models.load_time(m)),
             [
                 Some(Span::ZERO),
                 Some(Span::ZERO),
@@ -212,7 +217,7 @@
         assert!(news && differ.missing == ["large"] && differ.unlisted == ["maths"]);
         let models = inventory.servable_models(id, &catalog);
         assert_eq!(
-            [1, 2, 3].map(|m| models.ready_in(m)),
+            [1, 2, 3].map(|m| models.load_time(m)),
             [Some(Span::ZERO), None, Some(Span::ZERO)]
         );
         assert_eq!(
@@ -222,7 +227,7 @@
         // a new start: what was told is forgotten, and a late word of the old one is not heard
         inventory.set_listed(
             id,
-            State::InService,
+            EndpointState::InService,
             Timestamp::from_micros(9),
             Some(&names(&["small"])),
         );
@@ -231,7 +236,7 @@
             (false, None)
         );
         assert_eq!(
-            inventory.servable_models(id, &catalog).ready_in(3),
+            inventory.servable_models(id, &catalog).load_time(3),
             Some(Span::from_millis(800))
         );
     }
@@ -241,20 +246,25 @@
         let (catalog, mut inventory) = (catalog(), ModelInventory::default());
         inventory.set_listed(
             ReplicaId(1),
-            State::InService,
+            EndpointState::InService,
             Timestamp::ZERO,
             Some(&names(&["small"])),
         );
         inventory.set_listed(
             ReplicaId(2),
-            State::Terminating,
+            EndpointState::Draining,
             Timestamp::ZERO,
             Some(&names(&["large"])),
         );
-        inventory.set_listed(ReplicaId(3), State::InService, Timestamp::ZERO, None);
+        inventory.set_listed(
+            ReplicaId(3),
+            EndpointState::InService,
+            Timestamp::ZERO,
+            None,
+        );
         inventory.recount_hosts(&catalog);
         assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [2, 1, 2]);
-        inventory.set_listed(ReplicaId(3), State::Terminated, Timestamp::ZERO, None);
+        inventory.set_listed(ReplicaId(3), EndpointState::Removed, Timestamp::ZERO, None);
         inventory.recount_hosts(&catalog);
         assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [1, 0, 1]);
     }
