--- a/src/wire.rs
+++ b/src/wire.rs
@@ -9,8 +9,9 @@
 use serde::Deserialize;
 
 use crate::interface::{
-    Action, Arrival, Class, Effect, Entry, Event, Field, Group, ListKind, Outcome, ReplicaId,
-    Report, RequestId, Settings, Span, State, Timestamp,
+    Action, Arrival, AttemptEnded, Class, DeduplicationScope, EndpointListKind, EndpointState,
+    Event, HealthCheckEnded, Idempotency, LoadReport, LoadReportField, MAX_LOAD_REPORT_FIELDS,
+    Outcome, ReplicaEntry, ReplicaId, RequestId, Settings, Span, Timestamp,
 };
 
 /// What one line says.
@@ -61,9 +62,11 @@
 #[derive(Debug, Default)]
 pub struct Reader {
     names: FxHashMap<ReplicaId, String>,
-    sheets: [Option<Arc<[Entry]>>; SHEETS],
-    open: Option<(usize, usize, Vec<Entry>)>,
+    sheets: [Option<Arc<[ReplicaEntry]>>; SHEETS],
+    open: Option<(usize, usize, Vec<ReplicaEntry>)>,
     in_batch: bool,
+    /// The values of load reports in the order of each instance's settings.
+    load_report_fields: FxHashMap<usize, Vec<LoadReportField>>,
 }
 
 /// The fields of a line.
@@ -162,18 +165,19 @@
             .map_err(|_| format!("{name}={} is not 16 hex digits", shorten(text)))
     }
 
-    fn report(&self) -> Result<Option<Report>, String> {
+    /// The values of a load report, in the order of the instance's settings.
+    fn load_report_values(&self) -> Result<Option<Vec<f32>>, String> {
         let Some(text) = self.get("telemetry") else {
             return Ok(None);
         };
-        let mut report = [f32::NAN; 4];
-        for (k, part) in text.split(',').enumerate() {
-            let value = parse_number(part).filter(|_| k < report.len());
-            report[k.min(3)] = value
-                .ok_or_else(|| format!("telemetry={} is no load report", shorten(text)))?
-                as f32;
-        }
-        Ok(Some(report))
+        let values: Option<Vec<f32>> = text
+            .split(',')
+            .map(|part| parse_number(part).map(|value| value as f32))
+            .collect();
+        values
+            .filter(|values| values.len() <= MAX_LOAD_REPORT_FIELDS)
+            .map(Some)
+            .ok_or_else(|| format!("telemetry={} is no load report", shorten(text)))
     }
 }
 
@@ -205,20 +209,14 @@
     Some(micros)
 }
 
-/// A replica's number is a hash of its name (FNV-1a), so that all gateways agree on it.
-pub fn replica_id(name: &str) -> ReplicaId {
-    let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
-    ReplicaId(name.bytes().fold(0xcbf2_9ce4_8422_2325, fold))
-}
-
 fn outcome(code: u64) -> Result<Outcome, String> {
     Ok(match code {
-        0 => Outcome::Ok,
+        0 => Outcome::Completed,
         1 => Outcome::Cancelled,
         4 => Outcome::Timeout,
-        8 => Outcome::Full,
-        9 => Outcome::Moot,
-        10 => Outcome::Reset,
+        8 => Outcome::Rejected,
+        9 => Outcome::NeverSent,
+        10 => Outcome::ConnectionReset,
         13 => Outcome::Error,
         14 => Outcome::ConnectFailed,
         _ => return Err(format!("result={code} is no outcome")),
@@ -270,9 +268,13 @@
             "REPLICA" => return self.entry(f),
             "INIT" => {
                 let settings = Box::new(parse_settings(f.need("config")?)?);
+                let instance = instance(f)?;
+                let seed = f.int("init-seed")?;
+                self.load_report_fields
+                    .insert(instance, settings.load_report_fields.clone());
                 return Ok(Line::Init {
-                    instance: instance(f)?,
-                    seed: f.int("init-seed")?,
+                    instance,
+                    seed,
                     settings,
                 });
             }
@@ -282,40 +284,40 @@
                 });
             }
             "MEMBERSHIP" => self.membership(f)?,
-            "INBOUND" => Event::Request(arrival(f)?),
-            "HEADERS" => Event::First {
+            "INBOUND" => Event::RequestReceived(arrival(f)?),
+            "HEADERS" => Event::FirstToken {
                 request: RequestId(f.int("ref")?),
-                trial: f.int("trial")?,
-                took: Span::from_micros(f.micros("took")?),
+                attempt: f.int("trial")?,
+                elapsed: Span::from_micros(f.micros("took")?),
             },
-            "EXPIRED" => Event::Gone {
+            "EXPIRED" => Event::ClientDisconnected {
                 request: RequestId(f.int("ref")?),
             },
-            "RETURNED" => Event::Ended {
+            "RETURNED" => Event::AttemptEnded(AttemptEnded {
                 request: RequestId(f.int("ref")?),
-                trial: f.int("trial")?,
+                attempt: f.int("trial")?,
                 outcome: outcome(f.int("result")?)?,
-                took: Span::from_micros(f.micros("took")?),
-                kept: if f.get("note").is_some() {
+                elapsed: Span::from_micros(f.micros("took")?),
+                cached_tokens: if f.get("note").is_some() {
                     Some(f.int("note")?)
                 } else {
                     None
                 },
-                closed: f.flag("closed")?,
-                report: f.report()?,
-            },
-            "CHECK_RESULT" => Event::Probed {
-                replica: replica_id(f.need("replica")?),
+                request_complete: f.flag("closed")?,
+                load_report: self.load_report(f)?,
+            }),
+            "CHECK_RESULT" => Event::HealthCheckEnded(HealthCheckEnded {
+                replica: ReplicaId::from_name(f.need("replica")?),
                 outcome: outcome(f.int("result")?)?,
-                took: Span::from_micros(f.micros("took")?),
-                report: f.report()?,
-            },
-            "FROM_PEER" => Event::Peer {
+                elapsed: Span::from_micros(f.micros("took")?),
+                load_report: self.load_report(f)?,
+            }),
+            "FROM_PEER" => Event::PeerMessage {
                 from: f.int("src")?,
                 bytes: bytes(f.need("contents")?)?,
             },
-            "ELAPSED" => Event::Timer {
-                mark: f.int("mark")?,
+            "ELAPSED" => Event::TimerFired {
+                timer_id: f.int("mark")?,
             },
             _ => return Err("no such message".into()),
         };
@@ -325,6 +327,21 @@
         })
     }
 
+    /// The load report of a line, by the order of values in its instance's settings.
+    fn load_report(&self, f: &Fields<'_>) -> Result<Option<LoadReport>, String> {
+        let Some(values) = f.load_report_values()? else {
+            return Ok(None);
+        };
+        let mut report = LoadReport::default();
+        if let Some(fields) = self.load_report_fields.get(&instance(f)?) {
+            // of a value that the settings name twice the first one counts
+            for (field, value) in fields.iter().zip(&values).rev() {
+                report.set(*field, *value);
+            }
+        }
+        Ok(Some(report))
+    }
+
     fn directory(&mut self, f: &Fields<'_>) -> Result<Line, String> {
         let (sheet, count): (usize, usize) = (f.int("sheet")?, f.int("members-list")?);
         if sheet >= SHEETS {
@@ -340,28 +357,28 @@
 
     fn entry(&mut self, f: &Fields<'_>) -> Result<Line, String> {
         let name = f.need("replica")?;
-        let entry = Entry {
-            replica: replica_id(name),
+        let entry = ReplicaEntry {
+            replica: ReplicaId::from_name(name),
             zone: f.int_or("az", 0)?,
             cell: f.int_or("pod", 0)?,
             state: match f.need("lifecycle")? {
-                "in_service" => State::InService,
-                "terminating" => State::Terminating,
-                "terminated" => State::Terminated,
+                "in_service" => EndpointState::InService,
+                "terminating" => EndpointState::Draining,
+                "terminated" => EndpointState::Removed,
                 other => return Err(format!("lifecycle={} is not known", shorten(other))),
             },
-            started: Timestamp::from_micros(if f.get("launched").is_some() {
+            started_at: Timestamp::from_micros(if f.get("launched").is_some() {
                 f.micros("launched")?
             } else {
                 0
             }),
-            rating: if f.get("rating").is_some() {
+            weight: if f.get("rating").is_some() {
                 f.number("rating")?
             } else {
                 1.0
             },
-            kind: f.int_or("model", 0)?,
-            ..Entry::default()
+            machine_kind: f.int_or("model", 0)?,
+            ..ReplicaEntry::default()
         };
         let Some((sheet, mut left, mut entries)) = self.open.take() else {
             return Err("no DIRECTORY is open".into());
@@ -389,12 +406,12 @@
 
     fn membership(&self, f: &Fields<'_>) -> Result<Event, String> {
         let kind = match f.need("how")? {
-            "Partial" => ListKind::Partial,
-            "Complete" => ListKind::Complete,
-            "Persisted" => ListKind::Persisted,
+            "Partial" => EndpointListKind::Partial,
+            "Complete" => EndpointListKind::Complete,
+            "Persisted" => EndpointListKind::Persisted,
             "Error" => {
-                return Ok(Event::Members {
-                    kind: ListKind::Error,
+                return Ok(Event::EndpointsUpdated {
+                    kind: EndpointListKind::Error,
                     entries: Arc::from([]),
                 });
             }
@@ -402,7 +419,7 @@
         };
         let sheet: usize = f.int("sheet")?;
         let entries = self.sheets.get(sheet).cloned().flatten();
-        Ok(Event::Members {
+        Ok(Event::EndpointsUpdated {
             kind,
             entries: entries.ok_or(format!("sheet={sheet} was never given"))?,
         })
@@ -413,10 +430,10 @@
         let name = |r: &ReplicaId| self.names.get(r).map_or("?", String::as_str);
         let i = instance;
         let _ = match action {
-            Action::Send {
+            Action::StartAttempt {
                 request,
                 replica,
-                give_up,
+                timeout,
             } => {
                 let _ = write!(
                     out,
@@ -424,26 +441,29 @@
                     request.0,
                     name(replica)
                 );
-                give_up.map_or(Ok(()), |d| {
+                timeout.map_or(Ok(()), |d| {
                     write!(out, " give-up-after={}", Seconds(d.as_micros()))
                 })
             }
-            Action::Cancel { request, trial } => {
-                write!(out, "RETRACT i={i} ref={} trial={trial}", request.0)
+            Action::CancelAttempt { request, attempt } => {
+                write!(out, "RETRACT i={i} ref={} trial={attempt}", request.0)
             }
-            Action::Refuse { request, retry_in } => {
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
                 let _ = write!(out, "REFUSE i={i} ref={}", request.0);
-                retry_in.map_or(Ok(()), |d| {
+                retry_after.map_or(Ok(()), |d| {
                     write!(out, " retry-in={}", Seconds(d.as_micros()))
                 })
             }
             Action::Fail { request } => write!(out, "ABORT i={i} ref={}", request.0),
-            Action::Probe { replica } => write!(out, "POLL i={i} replica={}", name(replica)),
-            Action::Watch => write!(out, "KEEP_INFORMED i={i} on=1"),
-            Action::Timer { at, mark } => {
+            Action::CheckHealth { replica } => write!(out, "POLL i={i} replica={}", name(replica)),
+            Action::WatchEndpoints => write!(out, "KEEP_INFORMED i={i} on=1"),
+            Action::SetTimer { at, timer_id } => {
                 write!(
                     out,
-                    "WAKE_ME i={i} due-at={} mark={mark}",
+                    "WAKE_ME i={i} due-at={} mark={timer_id}",
                     Seconds(at.as_micros())
                 )
             }
@@ -493,12 +513,12 @@
         tenant: f.int_or("account", 0)?,
         session: f.hex("key")?,
         prefix: f.hex("shared-prefix")?.filter(|&p| p != 0),
-        prompt: f.int_or("prompt-len", 0)?,
-        shared: f.int_or("shared-len", 0)?,
-        cap: f.int_or("output-cap", 0)?,
-        hint: Span::from_secs_f64(hint),
-        valid_until: Timestamp::from_micros(f.micros("valid-until")?),
-        repeat: options & 2 != 0,
+        prompt_tokens: f.int_or("prompt-len", 0)?,
+        shared_prefix_tokens: f.int_or("shared-len", 0)?,
+        max_output_tokens: f.int_or("output-cap", 0)?,
+        expected_work: Span::from_secs_f64(hint),
+        expires_at: Timestamp::from_micros(f.micros("valid-until")?),
+        is_retry: options & 2 != 0,
         resumed: options & 16 != 0,
         ..Arrival::default()
     })
@@ -632,8 +652,8 @@
     for (k, c) in raw.classes.iter().enumerate() {
         let aim = Span::from_secs_f64(c.objective);
         classes.push(Class {
-            aim,
-            aim_per_1000: Span::from_secs_f64(
+            first_token_objective: aim,
+            first_token_objective_per_1000_prompt_tokens: Span::from_secs_f64(
                 raw.specifics
                     .aim_us_per_1000_prompt_tokens
                     .get(k)
@@ -641,52 +661,44 @@
                     .unwrap_or(0.0)
                     / 1e6,
             ),
-            pace: raw
+            token_interval_objective: raw
                 .specifics
                 .token_aim
                 .get(k)
                 .map_or(aim, |&s| Span::from_secs_f64(s)),
             deadline: Span::from_secs_f64(c.deadline),
-            aim_stretch: c.aim_stretch.max(0.0),
-            effect: match c.effect.as_str() {
-                "read_like" => Effect::Safe,
-                "idempotency_key" => Effect::Keyed,
-                "non_idempotent" => Effect::Unsafe,
+            first_token_objective_stretch: c.aim_stretch.max(0.0),
+            idempotency: match c.effect.as_str() {
+                "read_like" => Idempotency::Idempotent,
+                "idempotency_key" => Idempotency::Keyed,
+                "non_idempotent" => Idempotency::NonIdempotent,
                 other => return broken(format!("effect '{}'", shorten(other))),
             },
-            group: match c.group.as_deref() {
-                None | Some("all") => Group::All,
-                Some("zone") => Group::Zone,
-                Some("cell") => Group::Cell,
+            deduplication_scope: match c.group.as_deref() {
+                None | Some("all") => DeduplicationScope::All,
+                Some("zone") => DeduplicationScope::Zone,
+                Some("cell") => DeduplicationScope::Cell,
                 Some(other) => return broken(format!("group '{}'", shorten(other))),
             },
-            window: Span::from_secs_f64(c.repeat_window),
-            worth: c.credit,
-            late_worth: c.late_worth,
-            stream: c.streaming,
+            deduplication_window: Span::from_secs_f64(c.repeat_window),
+            priority_weight: c.credit,
+            late_weight: c.late_worth,
+            streaming: c.streaming,
         });
     }
     if classes.is_empty() {
         return broken("no classes".into());
     }
-    let field = |name: &String| match name.as_str() {
-        "outstanding" => Field::Inflight,
-        "backlog" => Field::Queue,
-        "utilization" => Field::Util,
-        "errors_per_s" => Field::Errors,
-        "throughput" => Field::Served,
-        _ => Field::Other,
-    };
     Ok(Settings {
-        instances: raw.n_instances.max(1),
+        router_count: raw.n_instances.max(1),
         zone: raw.zone,
-        period: Span::from_secs_f64(raw.period),
-        ask: match raw.discovery.as_str() {
+        step_interval: Span::from_secs_f64(raw.period),
+        endpoints_on_request: match raw.discovery.as_str() {
             "ask" => true,
             "push" => false,
             other => return broken(format!("discovery '{}'", shorten(other))),
         },
-        must_ask_in: Span::from_secs_f64(
+        staleness_bound: Span::from_secs_f64(
             raw.guarantees
                 .must_ask_in
                 .unwrap_or(raw.guarantees.warm_after),
@@ -697,27 +709,32 @@
             .iter()
             .map(|t| t.quota_per_s.unwrap_or(f64::INFINITY))
             .collect(),
-        over_share_worth: raw.over_share_worth,
-        resume: raw.specifics.resume,
-        marks_retry: raw.callers.marks_retry,
-        cancel: raw.limits.cancel,
-        second_copies: raw.limits.second_copies,
-        probes: raw.limits.probes,
+        over_quota_weight: raw.over_share_worth,
+        stream_resumption: raw.specifics.resume,
+        clients_mark_retries: raw.callers.marks_retry,
+        cancellation: raw.limits.cancel,
+        hedged_requests: raw.limits.second_copies,
+        health_checks: raw.limits.probes,
         retry_after: raw.limits.retry_after,
         max_retry_after: Span::from_secs_f64(raw.limits.max_retry_after),
         max_attempts: raw.limits.max_attempts,
-        conn_idle: Span::from_secs_f64(raw.limits.conn_idle),
-        cross_price: raw.prices.cross_zone,
-        handshake_price: raw.prices.handshake,
-        waste_price: raw.prices.waste,
-        probe_price: raw.prices.probe,
+        idle_connection_timeout: Span::from_secs_f64(raw.limits.conn_idle),
+        cross_zone_cost: raw.prices.cross_zone,
+        connection_cost: raw.prices.handshake,
+        wasted_work_cost: raw.prices.waste,
+        health_check_cost: raw.prices.probe,
         drain_grace: Span::from_secs_f64(raw.guarantees.drain_grace),
-        fall_multiple: raw.guarantees.fall_multiple,
-        fall: Span::from_secs_f64(raw.guarantees.fall),
-        start_capacity: raw.guarantees.start_capacity,
-        warm_after: Span::from_secs_f64(raw.guarantees.warm_after),
-        sized: raw.weights != "live",
-        report: raw.telemetry.names.iter().map(field).collect(),
-        report_in_answers: raw.telemetry.how == "answers",
+        overload_factor: raw.guarantees.fall_multiple,
+        overload_window: Span::from_secs_f64(raw.guarantees.fall),
+        slow_start_floor: raw.guarantees.start_capacity,
+        slow_start_duration: Span::from_secs_f64(raw.guarantees.warm_after),
+        weights_are_sizes: raw.weights != "live",
+        load_report_fields: raw
+            .telemetry
+            .names
+            .iter()
+            .map(|name| LoadReportField::from_name(name))
+            .collect(),
+        load_reports_in_answers: raw.telemetry.how == "answers",
     })
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -7,9 +7,9 @@
 use rstest::rstest;
 use stilespan::interface::*;
 
-fn cold(replica: u64) -> Entry {
-    Entry {
-        started: START,
+fn cold(replica: u64) -> ReplicaEntry {
+    ReplicaEntry {
+        started_at: START,
         ..entry(replica)
     }
 }
@@ -20,7 +20,7 @@
 /// and twice the margin.
 #[test]
 fn the_parts_of_many_gateways_reach_a_cold_replica_and_keep_its_rule() {
-    let mut entries: Vec<Entry> = (0..30).map(entry).collect();
+    let mut entries: Vec<ReplicaEntry> = (0..30).map(entry).collect();
     entries.extend((30..40).map(cold));
     let mut fleet = Fleet::new(&rules(), &entries);
     for _ in 0..3 {
@@ -47,10 +47,10 @@
 /// holds for their sum.
 #[test]
 fn two_processes_of_one_gateway_send_a_cold_replica_no_more_than_one() {
-    let mut entries: Vec<Entry> = (0..30).map(entry).collect();
+    let mut entries: Vec<ReplicaEntry> = (0..30).map(entry).collect();
     entries.extend((30..40).map(cold));
     let set = Settings {
-        instances: 1,
+        router_count: 1,
         ..rules()
     };
     let sent_with = |processes: u64, seeds: u64| {
@@ -61,7 +61,7 @@
                 balancer: stilespan::Balancer::new(set.clone(), seed, START),
                 now: START,
             };
-            gateway.step(0, vec![list(ListKind::Persisted, entries.clone())]);
+            gateway.step(0, vec![list(EndpointListKind::Persisted, entries.clone())]);
             fleet.gateways.push(gateway);
         }
         // a hundred requests a second in all, for three seconds
@@ -101,7 +101,7 @@
 #[case::all_cold(0)]
 #[case::one_warm(1)]
 fn a_cold_fleet_is_not_sent_one_request_by_every_gateway_at_once(#[case] warm: u64) {
-    let entries: Vec<Entry> = (0..10)
+    let entries: Vec<ReplicaEntry> = (0..10)
         .map(|k| if k < warm { entry(k) } else { cold(k) })
         .collect();
     let mut fleet = Fleet::new(&rules(), &entries);
@@ -121,7 +121,7 @@
     for _ in 0..4 {
         for k in 0..fleet.gateways.len() {
             let now = fleet.gateways[k].now + Span::from_millis(500);
-            fleet.act(k, now, vec![Event::Timer { mark: 0 }]);
+            fleet.act(k, now, vec![Event::TimerFired { timer_id: 0 }]);
         }
     }
     assert_eq!(fleet.sent.len() + fleet.ended, GATEWAYS as usize);
--- a/tests/cold_sum.rs
+++ b/tests/cold_sum.rs
@@ -70,17 +70,17 @@
 impl Ramp {
     fn settings(self, instances: u32) -> Settings {
         let mut set = Settings {
-            instances,
+            router_count: instances,
             ..rules()
         };
         // long enough for a first token of the slowest server: nothing but the draws keeps calls
         // off it
-        set.classes[0].aim = AIM;
+        set.classes[0].first_token_objective = AIM;
         match self {
             Ramp::Usual => set,
             Ramp::Long => Settings {
-                start_capacity: 0.1,
-                warm_after: Span::from_secs(60),
+                slow_start_floor: 0.1,
+                slow_start_duration: Span::from_secs(60),
                 ..set
             },
         }
@@ -98,7 +98,7 @@
 /// Calls that the rule allows a server in a window, chance aside, at this part of a warm one's
 /// capacity; `due` is a warm one's part of the calls a second.
 fn allowed(set: &Settings, due: f64, capacity: f64) -> f64 {
-    set.fall_multiple * capacity * due * set.fall.as_secs_f64()
+    set.overload_factor * capacity * due * set.overload_window.as_secs_f64()
 }
 
 /// What the rule puts down to chance.
@@ -113,7 +113,8 @@
 /// What a server in slow start can do so long after its start, as a part of the whole: a straight
 /// line.
 fn capacity(set: &Settings, since: f64) -> f64 {
-    set.start_capacity + (1.0 - set.start_capacity) * since / set.warm_after.as_secs_f64()
+    set.slow_start_floor
+        + (1.0 - set.slow_start_floor) * since / set.slow_start_duration.as_secs_f64()
 }
 
 /// The windows in which a server in slow start got more calls than it may, each with what it got
@@ -121,7 +122,7 @@
 fn over(set: &Settings, due: f64, sent: &[(Timestamp, usize, u64)]) -> Vec<(usize, f64)> {
     let calls_in = |at: Timestamp, to: u64| {
         sent.iter()
-            .filter(|call| call.2 == to && call.0 >= at && call.0 - at <= set.fall)
+            .filter(|call| call.2 == to && call.0 >= at && call.0 - at <= set.overload_window)
             .count()
     };
     let windows = sent.iter().map(|&(at, _, to)| {
@@ -133,13 +134,13 @@
 
 /// A play: the calls to servers in slow start.
 fn play(set: &Settings, traffic: Traffic, rate: u64, seed: u64) -> Vec<(Timestamp, usize, u64)> {
-    let entries: Vec<Entry> = (0..WARM + COLD)
+    let entries: Vec<ReplicaEntry> = (0..WARM + COLD)
         .map(|k| {
             if k < WARM {
                 entry(k)
             } else {
-                Entry {
-                    started: START,
+                ReplicaEntry {
+                    started_at: START,
                     ..entry(k)
                 }
             }
@@ -149,18 +150,18 @@
     let mut rng = StdRng::seed_from_u64(seed);
     for n in 0..(LENGTH * rate as f64) as u64 {
         let now = START + Span::from_micros(1_000_000 * n / rate);
-        let (process, prompt) = traffic.draw(&mut rng, set.instances);
+        let (process, prompt) = traffic.draw(&mut rng, set.router_count);
         fleet.settle(now);
         fleet.next += 1;
         let ask = Arrival {
-            valid_until: now + AIM,
-            prompt,
+            expires_at: now + AIM,
+            prompt_tokens: prompt,
             ..arrival(fleet.next)
         };
-        fleet.act(process, now, vec![Event::Request(ask)]);
+        fleet.act(process, now, vec![Event::RequestReceived(ask)]);
         if n % (rate / 20) == 0 {
             (0..fleet.gateways.len())
-                .for_each(|k| fleet.act(k, now, vec![Event::Timer { mark: 0 }]));
+                .for_each(|k| fleet.act(k, now, vec![Event::TimerFired { timer_id: 0 }]));
         }
     }
     fleet.sent.retain(|call| call.2 >= WARM);
@@ -178,7 +179,7 @@
     let rate = busy * ramp.rate();
     let due = rate as f64 / (WARM + COLD) as f64;
     let in_all = COLD as f64 * allowed(&set, due, capacity(&set, LENGTH / 2.0)) * LENGTH
-        / set.fall.as_secs_f64();
+        / set.overload_window.as_secs_f64();
     let mut calls = 0;
     for seed in 1..=PLAYS {
         let sent = play(&set, traffic, rate, seed);
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -18,22 +18,22 @@
 }
 
 impl Fleet {
-    pub fn new(settings: &Settings, entries: &[Entry]) -> Fleet {
+    pub fn new(settings: &Settings, entries: &[ReplicaEntry]) -> Fleet {
         Fleet::seeded(settings, entries, 0)
     }
 
     /// With seeds from this one on, one for each gateway.
-    pub fn seeded(settings: &Settings, entries: &[Entry], first: u64) -> Fleet {
+    pub fn seeded(settings: &Settings, entries: &[ReplicaEntry], first: u64) -> Fleet {
         let gateway = |seed| {
             let balancer = stilespan::Balancer::new(settings.clone(), first + seed, START);
             let mut gateway = Gateway {
                 balancer,
                 now: START,
             };
-            gateway.step(0, vec![list(ListKind::Persisted, entries.to_vec())]);
+            gateway.step(0, vec![list(EndpointListKind::Persisted, entries.to_vec())]);
             gateway
         };
-        let gateways = (0..u64::from(settings.instances)).map(gateway).collect();
+        let gateways = (0..u64::from(settings.router_count)).map(gateway).collect();
         Fleet {
             gateways,
             open: Vec::new(),
@@ -53,15 +53,15 @@
             self.settle(now);
             self.next += 1;
             let ask = Arrival {
-                valid_until: now + Span::from_secs(5),
+                expires_at: now + Span::from_secs(5),
                 ..arrival(self.next)
             };
-            self.act(k, now, vec![Event::Request(ask)]);
+            self.act(k, now, vec![Event::RequestReceived(ask)]);
         }
         let end = start + span;
         self.settle(end);
         for k in 0..self.gateways.len() {
-            self.act(k, end, vec![Event::Timer { mark: 0 }]);
+            self.act(k, end, vec![Event::TimerFired { timer_id: 0 }]);
         }
     }
 
@@ -69,7 +69,7 @@
         let (due, open) = self.open.iter().partition(|o| o.0 <= now);
         self.open = open;
         for (at, k, id) in due {
-            let events = vec![first(id, 0, 50_000), ended(id, 0, Outcome::Ok, true)];
+            let events = vec![first(id, 0, 50_000), ended(id, 0, Outcome::Completed, true)];
             self.act(k, at.max(self.gateways[k].now), events);
         }
     }
@@ -78,13 +78,13 @@
         let after = now - self.gateways[k].now;
         for action in self.gateways[k].step(after.as_micros(), events) {
             match action {
-                Action::Send {
+                Action::StartAttempt {
                     request, replica, ..
                 } => {
                     self.sent.push((now, k, replica.0));
                     self.open.push((now + Span::from_millis(250), k, request.0));
                 }
-                Action::Refuse { .. } | Action::Fail { .. } => self.ended += 1,
+                Action::Reject { .. } | Action::Fail { .. } => self.ended += 1,
                 _ => {}
             }
         }
@@ -105,37 +105,52 @@
 /// Settings with the rule on cold replicas.
 pub fn rules() -> Settings {
     Settings {
-        instances: GATEWAYS,
-        fall: Span::from_millis(1_500),
-        start_capacity: 0.3,
-        warm_after: Span::from_secs(9),
+        router_count: GATEWAYS,
+        overload_window: Span::from_millis(1_500),
+        slow_start_floor: 0.3,
+        slow_start_duration: Span::from_secs(9),
         ..settings()
     }
 }
 
 /// Settings with load reports.
 pub fn probing() -> Settings {
-    let report = vec![Field::Errors, Field::Served, Field::Util, Field::Other];
+    let report = vec![
+        LoadReportField::ErrorsPerSecond,
+        LoadReportField::ServedPerSecond,
+        LoadReportField::Utilization,
+        LoadReportField::Other,
+    ];
     Settings {
-        probes: true,
-        report,
+        health_checks: true,
+        load_report_fields: report,
         ..rules()
     }
 }
 
 pub fn probes(actions: &[Action]) -> Vec<u64> {
     let probe = |a: &Action| match a {
-        Action::Probe { replica } => Some(replica.0),
+        Action::CheckHealth { replica } => Some(replica.0),
         _ => None,
     };
     actions.iter().filter_map(probe).collect()
 }
 
-pub fn told(replica: u64, outcome: Outcome, report: Option<Report>) -> Event {
-    Event::Probed {
+pub fn told(replica: u64, outcome: Outcome, report: Option<LoadReport>) -> Event {
+    Event::HealthCheckEnded(HealthCheckEnded {
         replica: ReplicaId(replica),
         outcome,
-        took: Span::from_millis(2),
-        report,
+        elapsed: Span::from_millis(2),
+        load_report: report,
+    })
+}
+
+/// A load report of errors and served requests a second, and of the part of the slots in use.
+pub fn load_report(errors: f32, served: f32, utilization: f32) -> LoadReport {
+    LoadReport {
+        errors_per_second: Some(errors),
+        served_per_second: Some(served),
+        utilization: Some(utilization),
+        ..LoadReport::default()
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -27,63 +27,63 @@
 
 pub fn settings() -> Settings {
     let class = Class {
-        aim: Span::from_secs(1),
-        pace: Span::from_millis(80),
+        first_token_objective: Span::from_secs(1),
+        token_interval_objective: Span::from_millis(80),
         ..Class::default()
     };
     Settings {
         classes: vec![class],
         max_attempts: 3,
-        cancel: true,
-        second_copies: true,
+        cancellation: true,
+        hedged_requests: true,
         drain_grace: Span::from_millis(500),
-        fall_multiple: 4.0,
+        overload_factor: 4.0,
         ..Settings::default()
     }
 }
 
-pub fn entry(replica: u64) -> Entry {
-    Entry {
+pub fn entry(replica: u64) -> ReplicaEntry {
+    ReplicaEntry {
         replica: ReplicaId(replica),
-        rating: 1.0,
-        ..Entry::default()
+        weight: 1.0,
+        ..ReplicaEntry::default()
     }
 }
 
 pub fn arrival(request: u32) -> Arrival {
     Arrival {
         request: RequestId(request),
-        prompt: 500,
-        cap: 400,
+        prompt_tokens: 500,
+        max_output_tokens: 400,
         ..Arrival::default()
     }
 }
 
-pub fn list(kind: ListKind, entries: Vec<Entry>) -> Event {
-    Event::Members {
+pub fn list(kind: EndpointListKind, entries: Vec<ReplicaEntry>) -> Event {
+    Event::EndpointsUpdated {
         kind,
         entries: entries.into(),
     }
 }
 
-pub fn ended(request: u32, trial: u32, outcome: Outcome, closed: bool) -> Event {
-    let (request, took) = (RequestId(request), Span::from_millis(50));
-    Event::Ended {
+pub fn ended(request: u32, attempt: u32, outcome: Outcome, request_complete: bool) -> Event {
+    let (request, elapsed) = (RequestId(request), Span::from_millis(50));
+    Event::AttemptEnded(AttemptEnded {
         request,
-        trial,
+        attempt,
         outcome,
-        took,
-        kept: None,
-        closed,
-        report: None,
-    }
+        elapsed,
+        cached_tokens: None,
+        request_complete,
+        load_report: None,
+    })
 }
 
-pub fn first(request: u32, trial: u32, took: u64) -> Event {
-    Event::First {
+pub fn first(request: u32, attempt: u32, elapsed: u64) -> Event {
+    Event::FirstToken {
         request: RequestId(request),
-        trial,
-        took: Span::from_micros(took),
+        attempt,
+        elapsed: Span::from_micros(elapsed),
     }
 }
 
@@ -96,7 +96,7 @@
         gateway.step(
             0,
             vec![list(
-                ListKind::Persisted,
+                EndpointListKind::Persisted,
                 (0..replicas).map(entry).collect(),
             )],
         );
@@ -108,20 +108,20 @@
         let mut actions = Vec::new();
         self.now = self.now + Span::from_micros(after);
         self.balancer.step(self.now, &events, &mut actions);
-        actions.retain(|a| !matches!(a, Action::Timer { .. }));
+        actions.retain(|a| !matches!(a, Action::SetTimer { .. }));
         actions
     }
 
     pub fn ask(&mut self, after: u64, mut arrival: Arrival) -> Vec<Action> {
-        arrival.valid_until = Timestamp::from_micros(self.now.as_micros() + after + 5_000_000);
-        self.step(after, vec![Event::Request(arrival)])
+        arrival.expires_at = Timestamp::from_micros(self.now.as_micros() + after + 5_000_000);
+        self.step(after, vec![Event::RequestReceived(arrival)])
     }
 }
 
 /// Where the sends among these actions go.
 pub fn sends(actions: &[Action]) -> Vec<(u32, u64)> {
     let send = |a: &Action| match a {
-        Action::Send {
+        Action::StartAttempt {
             request, replica, ..
         } => Some((request.0, replica.0)),
         _ => None,
@@ -132,7 +132,7 @@
 pub fn refused(actions: &[Action], id: u32) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Refuse { request, .. } if request.0 == id))
+        .any(|a| matches!(a, Action::Reject { request, .. } if request.0 == id))
 }
 
 pub fn failed(actions: &[Action], id: u32) -> bool {
--- a/tests/common/scripted.rs
+++ b/tests/common/scripted.rs
@@ -7,7 +7,7 @@
 use stilespan::core::{
     Connector, DiscoveryCommand, Endpoint, Request, RequestAttributes, UpstreamCommand,
 };
-use stilespan::interface::{Entry, ReplicaId, Settings, Timestamp};
+use stilespan::interface::{ReplicaEntry, ReplicaId, Settings, Timestamp};
 use tokio::sync::mpsc;
 
 pub type Opened = Arc<Mutex<Vec<(ReplicaId, mpsc::Receiver<UpstreamCommand>)>>>;
@@ -24,11 +24,11 @@
 }
 
 pub fn host(id: u64, address: &str, started: u64) -> Endpoint {
-    let entry = Entry {
+    let entry = ReplicaEntry {
         replica: ReplicaId(id),
-        started: Timestamp::from_micros(started),
-        rating: 1.0,
-        ..Entry::default()
+        started_at: Timestamp::from_micros(started),
+        weight: 1.0,
+        ..ReplicaEntry::default()
     };
     Endpoint {
         name: format!("s-{id}"),
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -12,10 +12,10 @@
 
 /// Outcomes that come a second time.
 const ODD: [Outcome; 6] = [
-    Outcome::Ok,
+    Outcome::Completed,
     Outcome::Error,
-    Outcome::Full,
-    Outcome::Reset,
+    Outcome::Rejected,
+    Outcome::ConnectionReset,
     Outcome::ConnectFailed,
     Outcome::Timeout,
 ];
@@ -39,7 +39,7 @@
     pub rng: StdRng,
     pub now: Timestamp,
     pub open: BTreeMap<u32, Open>,
-    pub fleet: BTreeMap<u64, Entry>,
+    pub fleet: BTreeMap<u64, ReplicaEntry>,
     pub barred: BTreeMap<u64, Timestamp>,
     pub next: u32,
     /// Attempts may have a second outcome, and a first token after their first.
@@ -49,45 +49,48 @@
 pub fn odd_settings(rng: &mut StdRng) -> Settings {
     let mut classes = Vec::new();
     for (effect, group) in [
-        (Effect::Safe, Group::All),
-        (Effect::Keyed, Group::All),
-        (Effect::Keyed, Group::Zone),
-        (Effect::Keyed, Group::Cell),
-        (Effect::Unsafe, Group::All),
+        (Idempotency::Idempotent, DeduplicationScope::All),
+        (Idempotency::Keyed, DeduplicationScope::All),
+        (Idempotency::Keyed, DeduplicationScope::Zone),
+        (Idempotency::Keyed, DeduplicationScope::Cell),
+        (Idempotency::NonIdempotent, DeduplicationScope::All),
     ] {
         let late_worth = if rng.random_bool(0.3) { 0.5 } else { 0.0 };
         classes.push(Class {
-            effect,
-            group,
-            late_worth,
-            window: Span::from_millis(400),
+            idempotency: effect,
+            deduplication_scope: group,
+            late_weight: late_worth,
+            deduplication_window: Span::from_millis(400),
             ..Class::default()
         });
     }
     Settings {
         classes,
-        instances: rng.random_range(1..30),
+        router_count: rng.random_range(1..30),
         quotas: vec![30.0, 5.0],
-        over_share_worth: 0.1,
-        cancel: rng.random_bool(0.5),
-        second_copies: rng.random_bool(0.5),
-        ask: rng.random_bool(0.5),
+        over_quota_weight: 0.1,
+        cancellation: rng.random_bool(0.5),
+        hedged_requests: rng.random_bool(0.5),
+        endpoints_on_request: rng.random_bool(0.5),
         ..super::settings()
     }
 }
 
 impl World {
     fn list(&mut self) -> Event {
-        let kind =
-            [ListKind::Partial, ListKind::Complete, ListKind::Error][self.rng.random_range(0..3)];
+        let kind = [
+            EndpointListKind::Partial,
+            EndpointListKind::Complete,
+            EndpointListKind::Error,
+        ][self.rng.random_range(0..3)];
         let mut entries = Vec::new();
         for k in 0..6u64 {
             if self.rng.random_bool(0.5) {
                 let state = [
-                    State::InService,
-                    State::InService,
-                    State::Terminating,
-                    State::Terminated,
+                    EndpointState::InService,
+                    EndpointState::InService,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
                 ];
                 let state = state[self.rng.random_range(0..4)];
                 let started = if self.rng.random_bool(0.2) {
@@ -99,22 +102,22 @@
                     if started.as_micros() > 0 {
                         started
                     } else {
-                        e.started
+                        e.started_at
                     }
                 });
-                entries.push(Entry {
+                entries.push(ReplicaEntry {
                     state,
-                    started: known,
+                    started_at: known,
                     zone: k as u32 % 2,
                     cell: k as u32 / 2,
                     ..entry(k)
                 });
             }
         }
-        if kind == ListKind::Error {
+        if kind == EndpointListKind::Error {
             return list(kind, vec![]);
         }
-        if kind == ListKind::Complete {
+        if kind == EndpointListKind::Complete {
             for k in std::mem::take(&mut self.fleet).into_keys() {
                 self.barred.entry(k).or_insert(self.now);
             }
@@ -123,21 +126,21 @@
             let k = e.replica.0;
             self.fleet.insert(k, e.clone());
             match e.state {
-                State::InService => drop(self.barred.remove(&k)),
+                EndpointState::InService => drop(self.barred.remove(&k)),
                 _ => drop(self.barred.entry(k).or_insert(self.now)),
             }
         }
         list(kind, entries)
     }
 
-    fn ending(&mut self, id: u32, trial: usize, timeout: bool) -> Event {
+    fn ending(&mut self, id: u32, attempt: usize, timeout: bool) -> Event {
         let all = [
-            Outcome::Ok,
-            Outcome::Ok,
-            Outcome::Ok,
+            Outcome::Completed,
+            Outcome::Completed,
+            Outcome::Completed,
             Outcome::Error,
-            Outcome::Full,
-            Outcome::Reset,
+            Outcome::Rejected,
+            Outcome::ConnectionReset,
             Outcome::ConnectFailed,
         ];
         let open = self.open.get_mut(&id).unwrap();
@@ -146,15 +149,15 @@
         } else {
             all[self.rng.random_range(0..7)]
         };
-        let streaming = open.tries[trial].streaming;
-        let outcome = if streaming && outcome != Outcome::Ok {
-            Outcome::Reset
+        let streaming = open.tries[attempt].streaming;
+        let outcome = if streaming && outcome != Outcome::Completed {
+            Outcome::ConnectionReset
         } else {
             outcome
         };
-        open.tries[trial].over = Some(outcome);
-        open.answered |= outcome == Outcome::Ok || streaming;
-        ended(id, trial as u32, outcome, open.answered)
+        open.tries[attempt].over = Some(outcome);
+        open.answered |= outcome == Outcome::Completed || streaming;
+        ended(id, attempt as u32, outcome, open.answered)
     }
 
     pub fn events(&mut self) -> Vec<Event> {
@@ -184,42 +187,42 @@
             let shared = prompt / 2;
             let prefix = self.rng.random_bool(0.5).then_some(7);
             let cap = self.rng.random_range(0..400);
-            events.push(Event::Request(Arrival {
+            events.push(Event::RequestReceived(Arrival {
                 request: RequestId(id),
                 class,
                 tenant,
                 session,
                 prefix,
-                prompt,
-                shared,
-                cap,
-                valid_until,
+                prompt_tokens: prompt,
+                shared_prefix_tokens: shared,
+                max_output_tokens: cap,
+                expires_at: valid_until,
                 ..Arrival::default()
             }));
         }
         for id in self.open.keys().copied().collect::<Vec<_>>() {
-            for trial in 0..self.open[&id].tries.len() {
+            for attempt in 0..self.open[&id].tries.len() {
                 let doubled = self.doubled;
                 let open = self.open.get_mut(&id).unwrap();
                 let answered = open.answered;
-                let (now, t) = (self.now, &mut open.tries[trial]);
+                let (now, t) = (self.now, &mut open.tries[attempt]);
                 if t.over.is_some() {
                     // a second outcome, or a first token after it: the first outcome counts
                     if doubled && self.rng.random_bool(0.05) {
                         let other = ODD[self.rng.random_range(0..ODD.len())];
-                        events.push(ended(id, trial as u32, other, answered));
-                        events.push(first(id, trial as u32, 1000));
+                        events.push(ended(id, attempt as u32, other, answered));
+                        events.push(first(id, attempt as u32, 1000));
                     }
                     continue;
                 }
                 if !t.streaming && now >= open.valid_until {
-                    events.push(self.ending(id, trial, true));
+                    events.push(self.ending(id, attempt, true));
                 } else if self.rng.random_bool(0.05) {
                     if !t.streaming && !open.answered && self.rng.random_bool(0.6) {
                         t.streaming = true;
-                        events.push(first(id, trial as u32, (now - t.sent).as_micros()));
+                        events.push(first(id, attempt as u32, (now - t.sent).as_micros()));
                     } else {
-                        events.push(self.ending(id, trial, false));
+                        events.push(self.ending(id, attempt, false));
                     }
                 }
             }
@@ -228,7 +231,7 @@
             events.push(ended(
                 self.rng.random_range(0..9_999_999),
                 3,
-                Outcome::Ok,
+                Outcome::Completed,
                 true,
             ));
         }
@@ -237,7 +240,7 @@
 
     pub fn check(&mut self, action: &Action) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 request, replica, ..
             } => {
                 let grace = self.set.drain_grace;
@@ -248,19 +251,23 @@
                 assert!(!open.answered, "sent after the final answer");
                 assert!(open.tries.len() < self.set.max_attempts as usize);
                 let flying = open.tries.iter().any(|t| t.over.is_none());
-                assert!(!flying || self.set.second_copies, "two copies");
+                assert!(!flying || self.set.hedged_requests, "two copies");
                 let ran = open
                     .tries
                     .iter()
                     .find(|t| t.over.is_none_or(|o| !o.never_ran()));
                 let class = &self.set.classes[open.class];
-                if let (Some(ran), true) = (ran, class.effect != Effect::Safe) {
-                    assert_eq!(class.effect, Effect::Keyed, "an unsafe request again");
-                    assert!(self.now - ran.sent < class.window);
-                    let same = match class.group {
-                        Group::All => true,
-                        Group::Zone => ran.replica % 2 == replica.0 % 2,
-                        Group::Cell => ran.replica == replica.0,
+                if let (Some(ran), true) = (ran, class.idempotency != Idempotency::Idempotent) {
+                    assert_eq!(
+                        class.idempotency,
+                        Idempotency::Keyed,
+                        "an unsafe request again"
+                    );
+                    assert!(self.now - ran.sent < class.deduplication_window);
+                    let same = match class.deduplication_scope {
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => ran.replica % 2 == replica.0 % 2,
+                        DeduplicationScope::Cell => ran.replica == replica.0,
                     };
                     assert!(same, "outside the group");
                 }
@@ -271,7 +278,7 @@
                     streaming: false,
                 });
             }
-            Action::Refuse { request, .. } | Action::Fail { request } => {
+            Action::Reject { request, .. } | Action::Fail { request } => {
                 let open = self
                     .open
                     .get_mut(&request.0)
@@ -283,23 +290,25 @@
                     .iter()
                     .all(|t| t.over.is_some_and(Outcome::never_ran));
                 let class = &self.set.classes[open.class];
-                let harmless = match class.effect {
-                    Effect::Safe => true,
-                    Effect::Keyed => clean || class.group == Group::All,
-                    Effect::Unsafe => clean,
+                let harmless = match class.idempotency {
+                    Idempotency::Idempotent => true,
+                    Idempotency::Keyed => {
+                        clean || class.deduplication_scope == DeduplicationScope::All
+                    }
+                    Idempotency::NonIdempotent => clean,
                 };
                 assert!(
                     harmless || matches!(action, Action::Fail { .. }),
                     "refused what may have run"
                 );
             }
-            Action::Cancel { request, trial } => {
-                assert!(self.set.cancel);
-                assert!((*trial as usize) < self.open[&request.0].tries.len());
+            Action::CancelAttempt { request, attempt } => {
+                assert!(self.set.cancellation);
+                assert!((*attempt as usize) < self.open[&request.0].tries.len());
             }
-            Action::Timer { at, .. } => assert!(*at > self.now),
-            Action::Watch => assert!(self.set.ask),
-            Action::Probe { .. } => panic!("probes are not allowed here"),
+            Action::SetTimer { at, .. } => assert!(*at > self.now),
+            Action::WatchEndpoints => assert!(self.set.endpoints_on_request),
+            Action::CheckHealth { .. } => panic!("probes are not allowed here"),
         }
     }
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -10,7 +10,9 @@
 use stilespan::core::{
     EndpointsUpdate, MAILBOX_CAPACITY, MaintenanceAction, Message, UpstreamCommand,
 };
-use stilespan::interface::{Class, ListKind, ReplicaId, RequestId, Settings, Span, State};
+use stilespan::interface::{
+    Class, EndpointListKind, EndpointState, ReplicaId, RequestId, Settings, Span,
+};
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep, timeout};
 
@@ -20,7 +22,7 @@
     let (resolver, _asked) = mpsc::channel(4);
     let (handle, messages) = Core::start(parts(Scripted(Opened::default()), resolver));
     let listed = EndpointsUpdate {
-        kind: ListKind::Persisted,
+        kind: EndpointListKind::Persisted,
         endpoints: vec![host(1, "127.0.0.1:1", 0)],
     };
     messages
@@ -73,7 +75,10 @@
     let opened = Opened::default();
     let (resolver, _asked) = mpsc::channel(4);
     let (_handle, messages) = Core::start(parts(Scripted(opened.clone()), resolver));
-    for (kind, started) in [(ListKind::Complete, 0), (ListKind::Partial, started)] {
+    for (kind, started) in [
+        (EndpointListKind::Complete, 0),
+        (EndpointListKind::Partial, started),
+    ] {
         let hosts = vec![host(1, "127.0.0.1:1", started)];
         messages
             .send(Message::EndpointsUpdated(EndpointsUpdate {
@@ -105,8 +110,8 @@
     let (resolver, _asked) = mpsc::channel(4);
     let (_handle, messages) = Core::start(parts(Scripted(opened.clone()), resolver));
     for (kind, host) in [
-        (ListKind::Persisted, host(1, "127.0.0.1:1", 0)),
-        (ListKind::Partial, host(2, address, started)),
+        (EndpointListKind::Persisted, host(1, "127.0.0.1:1", 0)),
+        (EndpointListKind::Partial, host(2, address, started)),
     ] {
         messages
             .send(Message::EndpointsUpdated(EndpointsUpdate {
@@ -151,7 +156,7 @@
     );
     let settings = Settings {
         classes,
-        warm_after,
+        slow_start_duration: warm_after,
         ..Settings::default()
     };
     let parts = CoreOptions {
@@ -165,17 +170,17 @@
         .as_micros() as u64;
     let mut old = host(1, "127.0.0.1:1", 0);
     let list = EndpointsUpdate {
-        kind: ListKind::Complete,
+        kind: EndpointListKind::Complete,
         endpoints: vec![old.clone()],
     };
     messages
         .send(Message::EndpointsUpdated(list))
         .await
         .unwrap();
-    old.entry.state = State::Terminated;
+    old.entry.state = EndpointState::Removed;
     let joined = host(2, "127.0.0.1:2", now.saturating_add_signed(ahead));
     let change = EndpointsUpdate {
-        kind: ListKind::Partial,
+        kind: EndpointListKind::Partial,
         endpoints: vec![old, joined],
     };
     messages
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -13,7 +13,9 @@
     Answer, Attempt, AttemptResult, CoreHandle, EndpointsUpdate, Message, StartDecision,
     UpstreamCommand,
 };
-use stilespan::interface::{Class, Effect, ListKind, Outcome, ReplicaId, Settings, Span, State};
+use stilespan::interface::{
+    Class, EndpointListKind, EndpointState, Idempotency, Outcome, ReplicaId, Settings, Span,
+};
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep, timeout};
 
@@ -33,7 +35,7 @@
     let settings = Settings {
         classes: vec![class],
         max_attempts: 3,
-        cancel: true,
+        cancellation: true,
         ..Settings::default()
     };
     let parts = CoreOptions {
@@ -50,7 +52,7 @@
     };
     running
         .list(
-            ListKind::Complete,
+            EndpointListKind::Complete,
             (1..=hosts)
                 .map(|id| host(id, &format!("127.0.0.1:{id}"), 0))
                 .collect(),
@@ -63,7 +65,7 @@
 }
 
 impl Running {
-    async fn list(&self, kind: ListKind, hosts: Vec<stilespan::core::Endpoint>) {
+    async fn list(&self, kind: EndpointListKind, hosts: Vec<stilespan::core::Endpoint>) {
         self.messages
             .send(Message::EndpointsUpdated(EndpointsUpdate {
                 kind,
@@ -105,14 +107,14 @@
 /// A server is drained, is gone, or is missing from a complete list while an attempt waits for its
 /// connection there.
 #[rstest]
-#[case::drained(ListKind::Partial, Some(State::Terminating))]
-#[case::gone(ListKind::Partial, Some(State::Terminated))]
-#[case::drained_in_complete_list(ListKind::Complete, Some(State::Terminating))]
-#[case::missing_from_complete_list(ListKind::Complete, None)]
+#[case::drained(EndpointListKind::Partial, Some(EndpointState::Draining))]
+#[case::gone(EndpointListKind::Partial, Some(EndpointState::Removed))]
+#[case::drained_in_complete_list(EndpointListKind::Complete, Some(EndpointState::Draining))]
+#[case::missing_from_complete_list(EndpointListKind::Complete, None)]
 #[tokio::test]
 async fn unstarted_attempt_leaves_drained_server(
-    #[case] kind: ListKind,
-    #[case] state: Option<State>,
+    #[case] kind: EndpointListKind,
+    #[case] state: Option<EndpointState>,
 ) {
     let core = running(2, Class::default()).await;
     let _ticket = core.handle.submit(rpc(5000)).await.unwrap();
@@ -150,8 +152,8 @@
     let (at, mut started) = core.attempt().await;
     assert_eq!(started.gate.try_start(Instant::now()), StartDecision::Start);
     let mut drained = host(at.0, &format!("127.0.0.1:{}", at.0), 0);
-    drained.entry.state = State::Terminating;
-    core.list(ListKind::Partial, vec![drained]).await;
+    drained.entry.state = EndpointState::Draining;
+    core.list(EndpointListKind::Partial, vec![drained]).await;
     assert!(
         timeout(Duration::from_millis(100), &mut started.cancelled)
             .await
@@ -164,8 +166,8 @@
 #[tokio::test]
 async fn no_retry_starts_after_its_window() {
     let class = Class {
-        effect: Effect::Keyed,
-        window: Span::from_millis(400),
+        idempotency: Idempotency::Keyed,
+        deduplication_window: Span::from_millis(400),
         ..Class::default()
     };
     let core = running(2, class).await;
@@ -173,7 +175,7 @@
     let (_, first) = core.attempt().await;
     let sent = Instant::now();
     assert_eq!(first.gate.try_start(sent), StartDecision::Start);
-    core.ended(&first, Outcome::Reset).await;
+    core.ended(&first, Outcome::ConnectionReset).await;
     let (_, repeat) = core.attempt().await;
     assert_ne!(
         repeat.gate.try_start(sent + Duration::from_millis(401)),
@@ -195,8 +197,8 @@
 #[tokio::test]
 async fn timeout_before_first_byte_never_ran(#[case] starts: bool) {
     let class = Class {
-        effect: Effect::Unsafe,
-        aim: Span::from_millis(200),
+        idempotency: Idempotency::NonIdempotent,
+        first_token_objective: Span::from_millis(200),
         ..Class::default()
     };
     let core = running(1, class).await;
@@ -222,7 +224,7 @@
 async fn no_attempt_from_before_stall_starts() {
     // nothing else ends the attempt as it wakes
     let class = Class {
-        aim: Span::from_secs(10),
+        first_token_objective: Span::from_secs(10),
         deadline: Span::from_secs(15),
         ..Class::default()
     };
@@ -242,8 +244,8 @@
 /// Two outcomes of one attempt, in either order, and one that comes after its attempt has ended:
 /// the first counts.
 #[rstest]
-#[case::reset_then_rejected([Outcome::Reset, Outcome::Full])]
-#[case::rejected_then_reset([Outcome::Full, Outcome::Reset])]
+#[case::reset_then_rejected([Outcome::ConnectionReset, Outcome::Rejected])]
+#[case::rejected_then_reset([Outcome::Rejected, Outcome::ConnectionReset])]
 #[case::twice_the_same([Outcome::Error, Outcome::Error])]
 #[tokio::test]
 async fn attempt_has_one_outcome(#[case] outcomes: [Outcome; 2]) {
@@ -258,7 +260,7 @@
     assert_eq!(second.id.attempt, 1);
     assert_eq!(second.gate.try_start(Instant::now()), StartDecision::Start);
     // the late outcome of the first is none of the second, and orders no third beside it
-    core.ended(&first, Outcome::Reset).await;
+    core.ended(&first, Outcome::ConnectionReset).await;
     assert!(
         timeout(Duration::from_millis(100), &mut second.cancelled)
             .await
@@ -285,7 +287,7 @@
             .try_send(Message::AttemptEnded {
                 id: attempt.id,
                 at: Instant::now(),
-                result: Outcome::Reset.into(),
+                result: Outcome::ConnectionReset.into(),
             })
             .unwrap();
         drop(ticket);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -23,7 +23,10 @@
         };
         gateway.step(
             0,
-            vec![list(ListKind::Persisted, (0..6).map(entry).collect())],
+            vec![list(
+                EndpointListKind::Persisted,
+                (0..6).map(entry).collect(),
+            )],
         );
         for id in 1..=4 {
             let mut actions = gateway.ask(100_000, arrival(id));
@@ -31,19 +34,27 @@
             for _ in 0..100 {
                 asked += probes(&actions).len();
                 let answers = probes(&actions).into_iter().filter_map(|k| match k {
-                    0 => Some(told(k, Outcome::Ok, Some([0.0, 0.5, 0.6, 0.5]))),
+                    0 => Some(told(
+                        k,
+                        Outcome::Completed,
+                        Some(load_report(0.0, 0.5, 0.6)),
+                    )),
                     1 => None,
                     2 => Some(told(k, Outcome::ConnectFailed, None)),
-                    _ => Some(told(k, Outcome::Ok, Some([0.0, 4.0, 0.1, 0.1]))),
+                    _ => Some(told(
+                        k,
+                        Outcome::Completed,
+                        Some(load_report(0.0, 4.0, 0.1)),
+                    )),
                 });
-                let events = answers.chain([Event::Timer { mark: 0 }]).collect();
+                let events = answers.chain([Event::TimerFired { timer_id: 0 }]).collect();
                 to.extend(sends(&actions).iter().map(|s| s.1));
                 actions = gateway.step(2_000, events);
             }
             assert!(asked <= 6, "{asked} probes for one request");
             gateway.step(
                 2_000,
-                vec![first(id, 0, 50_000), ended(id, 0, Outcome::Ok, true)],
+                vec![first(id, 0, 50_000), ended(id, 0, Outcome::Completed, true)],
             );
         }
     }
@@ -68,17 +79,17 @@
         gateway.step(
             0,
             vec![list(
-                ListKind::Persisted,
+                EndpointListKind::Persisted,
                 (0..replicas).map(entry).collect(),
             )],
         );
         let mut actions = gateway.ask(1_000, arrival(1));
         for _ in 0..100 {
             to_silent += sends(&actions).iter().filter(|s| s.1 < silent).count();
-            let report = Some([0.0, 4.0, 0.1, 0.1]);
+            let report = Some(load_report(0.0, 4.0, 0.1));
             let answers = probes(&actions).into_iter().filter(|&k| k >= silent);
-            let answers = answers.map(|k| told(k, Outcome::Ok, report));
-            let events = answers.chain([Event::Timer { mark: 0 }]).collect();
+            let answers = answers.map(|k| told(k, Outcome::Completed, report));
+            let events = answers.chain([Event::TimerFired { timer_id: 0 }]).collect();
             actions = gateway.step(2_000, events);
         }
     }
@@ -108,13 +119,16 @@
     };
     gateway.step(
         0,
-        vec![list(ListKind::Persisted, (0..3).map(entry).collect())],
+        vec![list(
+            EndpointListKind::Persisted,
+            (0..3).map(entry).collect(),
+        )],
     );
     assert_eq!(probes(&gateway.ask(1_000, arrival(1))).len(), 3);
-    let good = Some([0.0, 4.0, 0.1, 0.1]);
+    let good = Some(load_report(0.0, 4.0, 0.1));
     let events = vec![
-        told(0, Outcome::Ok, good),
-        told(1, Outcome::Ok, good),
+        told(0, Outcome::Completed, good),
+        told(1, Outcome::Completed, good),
         told(2, Outcome::ConnectFailed, None),
     ];
     gateway.step(2_000, events);
@@ -128,7 +142,7 @@
 /// look there.
 #[test]
 fn a_shared_beginning_does_not_gather_all_gateways_at_one_replica() {
-    let entries: Vec<Entry> = (0..40).map(entry).collect();
+    let entries: Vec<ReplicaEntry> = (0..40).map(entry).collect();
     let mut to = [0; 40];
     for seed in 0..400 {
         let balancer = stilespan::Balancer::new(rules(), seed, START);
@@ -136,10 +150,10 @@
             balancer,
             now: START,
         };
-        gateway.step(0, vec![list(ListKind::Persisted, entries.clone())]);
+        gateway.step(0, vec![list(EndpointListKind::Persisted, entries.clone())]);
         let ask = Arrival {
             prefix: Some(7),
-            shared: 300,
+            shared_prefix_tokens: 300,
             ..arrival(1)
         };
         for (_, k) in sends(&gateway.ask(1_000, ask)) {
@@ -157,30 +171,33 @@
 #[case::long_aim(1)]
 fn either_class_crosses_from_a_full_zone_at_the_same_gain(#[case] class: u32) {
     let mut set = Settings {
-        cross_price: 0.1,
+        cross_zone_cost: 0.1,
         ..probing()
     };
-    set.classes[0].aim = Span::from_millis(400);
-    set.classes[0].aim_per_1000 = Span::from_millis(60);
+    set.classes[0].first_token_objective = Span::from_millis(400);
+    set.classes[0].first_token_objective_per_1000_prompt_tokens = Span::from_millis(60);
     set.classes.push(Class {
-        aim: Span::from_secs(3),
+        first_token_objective: Span::from_secs(3),
         ..set.classes[0].clone()
     });
     let mut gateway = Gateway {
         balancer: stilespan::Balancer::new(set, 1, START),
         now: START,
     };
-    let far = Entry {
+    let far = ReplicaEntry {
         zone: 1,
         ..entry(1)
     };
-    gateway.step(0, vec![list(ListKind::Persisted, vec![entry(0), far])]);
+    gateway.step(
+        0,
+        vec![list(EndpointListKind::Persisted, vec![entry(0), far])],
+    );
     let mut sent = Vec::new();
     let mut actions = gateway.ask(
         1_000,
         Arrival {
             class,
-            prompt: 2_000,
+            prompt_tokens: 2_000,
             ..arrival(1)
         },
     );
@@ -188,15 +205,15 @@
         sent.extend(sends(&actions).iter().map(|s| s.1));
         let report = |k| {
             if k == 0 {
-                [0.0, 1.0, 0.6, 0.5]
+                load_report(0.0, 1.0, 0.6)
             } else {
-                [0.0, 4.0, 0.1, 0.1]
+                load_report(0.0, 4.0, 0.1)
             }
         };
         let answers = probes(&actions)
             .into_iter()
-            .map(|k| told(k, Outcome::Ok, Some(report(k))));
-        let events = answers.chain([Event::Timer { mark: 0 }]).collect();
+            .map(|k| told(k, Outcome::Completed, Some(report(k))));
+        let events = answers.chain([Event::TimerFired { timer_id: 0 }]).collect();
         actions = gateway.step(2_000, events);
     }
     assert_eq!(sent, [1]);
@@ -208,7 +225,7 @@
 #[test]
 fn calls_at_a_failing_discovery_are_spread_and_go_on() {
     let set = Settings {
-        ask: true,
+        endpoints_on_request: true,
         ..rules()
     };
     let mut gateways: Vec<Gateway> = (0..u64::from(GATEWAYS))
@@ -217,14 +234,14 @@
             now: START,
         })
         .collect();
-    let failed = || vec![list(ListKind::Error, Vec::new())];
+    let failed = || vec![list(EndpointListKind::Error, Vec::new())];
     gateways.iter_mut().for_each(|g| drop(g.step(0, failed())));
     // calls in each 100 ms; every one fails at once
     let mut calls = [0; 200];
     for tick in 0..2_000 {
         for gateway in &mut gateways {
-            let watches = |a: &[Action]| a.iter().filter(|a| **a == Action::Watch).count();
-            let asked = watches(&gateway.step(10_000, vec![Event::Timer { mark: 0 }]));
+            let watches = |a: &[Action]| a.iter().filter(|a| **a == Action::WatchEndpoints).count();
+            let asked = watches(&gateway.step(10_000, vec![Event::TimerFired { timer_id: 0 }]));
             calls[tick / 10] += asked;
             if asked > 0 {
                 gateway.step(0, failed());
--- a/tests/fleet_sizes.rs
+++ b/tests/fleet_sizes.rs
@@ -41,7 +41,10 @@
         };
         gateway.step(
             0,
-            vec![list(ListKind::Persisted, (0..servers).map(entry).collect())],
+            vec![list(
+                EndpointListKind::Persisted,
+                (0..servers).map(entry).collect(),
+            )],
         );
         Measured {
             gateway,
@@ -69,7 +72,7 @@
                 sent += 1;
                 let answer = vec![
                     first(request, 0, 50_000),
-                    ended(request, 0, Outcome::Ok, true),
+                    ended(request, 0, Outcome::Completed, true),
                 ];
                 self.gateway.step(1_000, answer);
             }
@@ -83,19 +86,19 @@
         let (id, mut most) = (|n: u64, of: u64| ReplicaId(of * 1_000_000 + n), 0);
         let all: Vec<u64> = (0..self.servers).collect();
         for part in all.chunks(self.servers as usize / 20) {
-            let gone = |&n: &u64| Entry {
+            let gone = |&n: &u64| ReplicaEntry {
                 replica: id(n, generation - 1),
-                state: State::Terminated,
+                state: EndpointState::Removed,
                 ..entry(n)
             };
-            let new = |&n: &u64| Entry {
+            let new = |&n: &u64| ReplicaEntry {
                 replica: id(n, generation),
                 ..entry(n)
             };
             let entries = part.iter().map(gone).chain(part.iter().map(new)).collect();
             let before = allocated_bytes();
             self.gateway
-                .step(300_000, vec![list(ListKind::Partial, entries)]);
+                .step(300_000, vec![list(EndpointListKind::Partial, entries)]);
             most = most.max(allocated_bytes() - before);
         }
         most
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -82,7 +82,7 @@
         ("s-b", b.address.as_str(), "SERVING"),
     ];
     let mut config = config(&hosts, Some(&discovery.address));
-    config.settings.ask = asked;
+    config.settings.endpoints_on_request = asked;
     let router = route(config).await;
     until("the watch goes on after a failure", || {
         discovery.requests() > 4
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -59,13 +59,13 @@
 fn queue_drains_by_due_time() {
     let mut set = settings();
     set.classes.push(Class {
-        aim: Span::from_millis(600),
+        first_token_objective: Span::from_millis(600),
         ..set.classes[0].clone()
     });
     let mut gateway = Gateway::new(set, 1);
     // far past any budget, yet the most urgent goes
     let long = Arrival {
-        prompt: 5_000,
+        prompt_tokens: 5_000,
         ..arrival(1)
     };
     assert_eq!(sends(&gateway.ask(2_000, long)), [(1, 0)]);
@@ -83,16 +83,16 @@
     );
     // it matures at once when none of our streams is left; the shorter aim goes first
     gateway.step(10_000, vec![first(1, 0, 200_000)]);
-    let actions = gateway.step(10_000, vec![ended(1, 0, Outcome::Ok, true)]);
+    let actions = gateway.step(10_000, vec![ended(1, 0, Outcome::Completed, true)]);
     assert_eq!(sends(&actions)[0], (3, 0));
 }
 
 #[test]
 fn fault_delays_maturity() {
     for outcome in [
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::Error,
-        Outcome::Reset,
+        Outcome::ConnectionReset,
         Outcome::ConnectFailed,
     ] {
         let mut gateway = Gateway::new(settings(), 2);
@@ -108,19 +108,22 @@
     let (mut tried, mut full) = (0, None);
     for id in 1..=400 {
         let mut actions = gateway.ask(5_000, arrival(id));
-        for trial in 0..3 {
+        for attempt in 0..3 {
             assert!(!refused(&actions, id));
             let [(_, replica)] = sends(&actions)[..] else {
                 panic!("{actions:?}")
             };
             // the first that is tried takes no connections
             if replica != *full.get_or_insert(replica) {
-                gateway.step(1_000, vec![first(id, trial, 1_000)]);
-                gateway.step(1_000, vec![ended(id, trial, Outcome::Ok, true)]);
+                gateway.step(1_000, vec![first(id, attempt, 1_000)]);
+                gateway.step(1_000, vec![ended(id, attempt, Outcome::Completed, true)]);
                 break;
             }
             tried += 1;
-            actions = gateway.step(1_000, vec![ended(id, trial, Outcome::ConnectFailed, false)]);
+            actions = gateway.step(
+                1_000,
+                vec![ended(id, attempt, Outcome::ConnectFailed, false)],
+            );
         }
     }
     // in about three seconds, of 400 requests
@@ -137,37 +140,40 @@
         let sent = sends(&gateway.ask(900_000, arrival(id)));
         assert!(sent.iter().all(|s| s.1 != slow), "{sent:?}");
         gateway.step(10_000, vec![first(id, 0, 50_000)]);
-        gateway.step(10_000, vec![ended(id, 0, Outcome::Ok, true)]);
+        gateway.step(10_000, vec![ended(id, 0, Outcome::Completed, true)]);
     }
 }
 
 #[test]
 fn session_returns_to_its_cache() {
     let mut set = settings();
-    set.classes[0].aim_per_1000 = Span::from_millis(100);
+    set.classes[0].first_token_objective_per_1000_prompt_tokens = Span::from_millis(100);
     let mut gateway = Gateway::new(set, 6);
     let turn = |id| Arrival {
         session: Some(77),
-        prompt: 4_000,
+        prompt_tokens: 4_000,
         ..arrival(id)
     };
     let home = sends(&gateway.ask(2_000, turn(1)))[0].1;
     gateway.step(500_000, vec![first(1, 0, 480_000)]);
-    gateway.step(300_000, vec![ended(1, 0, Outcome::Ok, true)]);
+    gateway.step(300_000, vec![ended(1, 0, Outcome::Completed, true)]);
     for id in 2..8 {
         assert_eq!(sends(&gateway.ask(2_000_000, turn(id))), [(id, home)]);
         gateway.step(100_000, vec![first(id, 0, 60_000)]);
-        gateway.step(100_000, vec![ended(id, 0, Outcome::Ok, true)]);
+        gateway.step(100_000, vec![ended(id, 0, Outcome::Completed, true)]);
     }
 }
 
 #[test]
 fn draining_replicas_get_nothing_new() {
-    for state in [State::Terminating, State::Terminated] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut gateway = Gateway::new(settings(), 1);
         gateway.step(
             2_000,
-            vec![list(ListKind::Partial, vec![Entry { state, ..entry(0) }])],
+            vec![list(
+                EndpointListKind::Partial,
+                vec![ReplicaEntry { state, ..entry(0) }],
+            )],
         );
         let actions = gateway.ask(2_000, arrival(1));
         assert!(sends(&actions).is_empty());
@@ -177,18 +183,21 @@
     }
     // absent from a full list is gone too
     let mut gateway = Gateway::new(settings(), 2);
-    gateway.step(2_000, vec![list(ListKind::Complete, vec![entry(1)])]);
+    gateway.step(
+        2_000,
+        vec![list(EndpointListKind::Complete, vec![entry(1)])],
+    );
     assert_eq!(sends(&gateway.ask(2_000, arrival(1))), [(1, 1)]);
 }
 
 #[test]
 fn unsafe_retry_needs_unrun_attempt() {
     let mut set = settings();
-    set.classes[0].effect = Effect::Unsafe;
+    set.classes[0].idempotency = Idempotency::NonIdempotent;
     for (outcome, again) in [
-        (Outcome::Full, true),
+        (Outcome::Rejected, true),
         (Outcome::ConnectFailed, true),
-        (Outcome::Reset, false),
+        (Outcome::ConnectionReset, false),
     ] {
         let mut gateway = Gateway::new(set.clone(), 2);
         gateway.ask(2_000, arrival(1));
@@ -203,20 +212,20 @@
 fn keyed_retry_stays_in_its_window() {
     let mut set = settings();
     set.classes[0] = Class {
-        effect: Effect::Keyed,
-        group: Group::Cell,
+        idempotency: Idempotency::Keyed,
+        deduplication_scope: DeduplicationScope::Cell,
         ..set.classes[0].clone()
     };
     let fleet = |cells: [u32; 2]| {
-        let entries = cells.iter().enumerate().map(|(k, &cell)| Entry {
+        let entries = cells.iter().enumerate().map(|(k, &cell)| ReplicaEntry {
             cell,
             ..entry(k as u64)
         });
-        list(ListKind::Persisted, entries.collect())
+        list(EndpointListKind::Persisted, entries.collect())
     };
     let run = |cells, window| {
         let mut set = set.clone();
-        set.classes[0].window = Span::from_micros(window);
+        set.classes[0].deduplication_window = Span::from_micros(window);
         let mut gateway = Gateway::new(set, 0);
         gateway.step(0, vec![fleet(cells)]);
         gateway.ask(2_000, arrival(1));
@@ -238,7 +247,7 @@
 #[test]
 fn warming_replica_gets_its_part() {
     let set = Settings {
-        instances: 4,
+        router_count: 4,
         ..settings()
     };
     let mut gateway = Gateway::new(set, 4);
@@ -246,11 +255,11 @@
     let mut cold = [0; 2];
     for (second, count) in cold.iter_mut().enumerate() {
         if second == 1 {
-            let started = Entry {
-                started: gateway.now,
+            let started = ReplicaEntry {
+                started_at: gateway.now,
                 ..entry(9)
             };
-            gateway.step(1_000, vec![list(ListKind::Partial, vec![started])]);
+            gateway.step(1_000, vec![list(EndpointListKind::Partial, vec![started])]);
         }
         for _ in 0..100 {
             id += 1;
@@ -259,7 +268,7 @@
                 .filter(|s| s.1 == 9)
                 .count();
             gateway.step(1_000, vec![first(id, 0, 1_000)]);
-            gateway.step(1_000, vec![ended(id, 0, Outcome::Ok, true)]);
+            gateway.step(1_000, vec![ended(id, 0, Outcome::Completed, true)]);
         }
     }
     // a fifth replica's part of 100 requests is 20; a cold one's is half of four times a tenth of
@@ -272,7 +281,7 @@
 fn traffic_over_quota_is_shed_first() {
     let set = Settings {
         quotas: vec![20.0, 20.0],
-        over_share_worth: 0.05,
+        over_quota_weight: 0.05,
         ..settings()
     };
     let mut gateway = Gateway::new(set, 1);
@@ -290,7 +299,7 @@
         );
         shed[tenant as usize] += usize::from(refused(&actions, id));
         for (sent, _) in sends(&actions) {
-            gateway.step(0, vec![ended(sent, 0, Outcome::Full, false)]);
+            gateway.step(0, vec![ended(sent, 0, Outcome::Rejected, false)]);
         }
     }
     assert!(shed[0] > 500 && shed[1] * 5 < shed[0], "{shed:?}");
@@ -299,13 +308,13 @@
 #[test]
 fn objective_grows_with_work() {
     let mut set = settings();
-    set.classes[0].aim_stretch = 2.0;
+    set.classes[0].first_token_objective_stretch = 2.0;
     for (hint, late) in [(0, true), (1_000_000, false), (90_000_000, false)] {
         let mut gateway = Gateway::new(set.clone(), 0);
         gateway.ask(
             0,
             Arrival {
-                hint: Span::from_micros(hint),
+                expected_work: Span::from_micros(hint),
                 ..arrival(1)
             },
         );
@@ -324,13 +333,13 @@
         let actions = gateway.ask(
             10_000,
             Arrival {
-                repeat,
+                is_retry: repeat,
                 ..arrival(id)
             },
         );
         shed[usize::from(repeat)] += usize::from(refused(&actions, id));
         for (sent, _) in sends(&actions) {
-            gateway.step(0, vec![ended(sent, 0, Outcome::Full, false)]);
+            gateway.step(0, vec![ended(sent, 0, Outcome::Rejected, false)]);
         }
     }
     assert!(shed[1] > 500 && shed[1] > shed[0], "{shed:?}");
@@ -343,10 +352,15 @@
     let mut gateway = Gateway::new(settings(), 2);
     for id in 1..400 {
         let mut sent = sends(&gateway.ask(10_000, arrival(id)));
-        for trial in 0..3 {
-            let full = sent
-                .iter()
-                .map(|s| ended(s.0, trial * u32::from(s.0 == id), Outcome::Full, false));
+        for attempt in 0..3 {
+            let full = sent.iter().map(|s| {
+                ended(
+                    s.0,
+                    attempt * u32::from(s.0 == id),
+                    Outcome::Rejected,
+                    false,
+                )
+            });
             sent = sends(&gateway.step(0, full.collect()));
         }
     }
@@ -359,7 +373,7 @@
         served += sent.len();
         for (id, _) in sent.drain(..) {
             gateway.step(50_000, vec![first(id, 0, 50_000)]);
-            gateway.step(50_000, vec![ended(id, 0, Outcome::Ok, true)]);
+            gateway.step(50_000, vec![ended(id, 0, Outcome::Completed, true)]);
         }
     }
     assert!(served > 90, "{served}");
@@ -368,8 +382,8 @@
 #[test]
 fn list_polls_have_jitter() {
     let set = Settings {
-        ask: true,
-        must_ask_in: Span::from_secs(8),
+        endpoints_on_request: true,
+        staleness_bound: Span::from_secs(8),
         ..settings()
     };
     let mut times = Vec::new();
@@ -381,7 +395,7 @@
             for k in 0..10_000 {
                 let mut actions = Vec::new();
                 balancer.step(*now, if k == 0 { &events } else { &[] }, &mut actions);
-                if actions.contains(&Action::Watch) {
+                if actions.contains(&Action::WatchEndpoints) {
                     return *now - begin;
                 }
                 *now = *now + Span::from_millis(2);
@@ -392,7 +406,9 @@
         assert!(start <= Span::from_secs(2));
         times.push(start);
         for _ in 0..5 {
-            assert!(asked(&mut now, vec![list(ListKind::Error, vec![])]) <= Span::from_secs(8));
+            assert!(
+                asked(&mut now, vec![list(EndpointListKind::Error, vec![])]) <= Span::from_secs(8)
+            );
         }
     }
     times.sort();
@@ -404,19 +420,19 @@
 fn unknown_ids_change_nothing() {
     let mut gateway = Gateway::new(settings(), 0);
     let events = vec![
-        ended(5, 0, Outcome::Ok, true),
+        ended(5, 0, Outcome::Completed, true),
         first(5, 3, 100),
-        Event::Gone {
+        Event::ClientDisconnected {
             request: RequestId(5),
         },
-        Event::Timer { mark: 99 },
-        Event::Probed {
+        Event::TimerFired { timer_id: 99 },
+        Event::HealthCheckEnded(HealthCheckEnded {
             replica: ReplicaId(8),
-            outcome: Outcome::Ok,
-            took: Span::from_micros(5),
-            report: None,
-        },
-        Event::Peer {
+            outcome: Outcome::Completed,
+            elapsed: Span::from_micros(5),
+            load_report: None,
+        }),
+        Event::PeerMessage {
             from: 3,
             bytes: [1, 2].into(),
         },
@@ -426,18 +442,18 @@
     assert!(gateway.ask(1_000, arrival(1)).is_empty());
     assert!(refused(&gateway.step(1_000_000, vec![]), 1));
     // an outcome of an attempt that does not exist, and one told twice
-    gateway.step(0, vec![list(ListKind::Complete, vec![entry(0)])]);
+    gateway.step(0, vec![list(EndpointListKind::Complete, vec![entry(0)])]);
     gateway.ask(10_000, arrival(2));
     assert!(
         gateway
-            .step(1_000, vec![ended(2, 7, Outcome::Ok, false)])
+            .step(1_000, vec![ended(2, 7, Outcome::Completed, false)])
             .is_empty()
     );
     gateway.step(
         1_000,
         vec![
-            ended(2, 0, Outcome::Ok, true),
-            ended(2, 0, Outcome::Ok, true),
+            ended(2, 0, Outcome::Completed, true),
+            ended(2, 0, Outcome::Completed, true),
         ],
     );
 }
@@ -457,12 +473,15 @@
         let outcome = if id == 80 {
             Outcome::Error
         } else {
-            Outcome::Ok
+            Outcome::Completed
         };
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Completed {
             gateway.step(50_000, vec![first(id, 0, 50_000)]);
         }
-        gateway.step(10_000, vec![ended(id, 0, outcome, outcome == Outcome::Ok)]);
+        gateway.step(
+            10_000,
+            vec![ended(id, 0, outcome, outcome == Outcome::Completed)],
+        );
     }
     assert!(refusals <= 1, "{refusals} of 120 refused for one error");
 }
@@ -470,11 +489,11 @@
 #[test]
 fn cached_long_prompt_meets_its_deadline() {
     let mut gateway = Gateway::new(settings(), 2);
-    let serve = |gateway: &mut Gateway, request: Arrival, took: u64| {
+    let serve = |gateway: &mut Gateway, request: Arrival, elapsed: u64| {
         let id = request.request.0;
         let sent = sends(&gateway.ask(2_000, request));
-        gateway.step(took, vec![first(id, 0, took)]);
-        gateway.step(10_000, vec![ended(id, 0, Outcome::Ok, true)]);
+        gateway.step(elapsed, vec![first(id, 0, elapsed)]);
+        gateway.step(10_000, vec![ended(id, 0, Outcome::Completed, true)]);
         sent
     };
     // 0.2 s for 500 tokens all over the fleet: the aim of 1 s is up at about 2,500
@@ -482,7 +501,7 @@
         serve(
             &mut gateway,
             Arrival {
-                prompt: 250 + 250 * (id % 3),
+                prompt_tokens: 250 + 250 * (id % 3),
                 ..arrival(id)
             },
             100_000 + 100_000 * u64::from(id % 3),
@@ -492,7 +511,7 @@
     for turn in 1..10 {
         let request = Arrival {
             session: Some(9),
-            prompt: 500 * turn,
+            prompt_tokens: 500 * turn,
             ..arrival(100 + turn)
         };
         assert_eq!(
@@ -505,7 +524,7 @@
     let actions = gateway.ask(
         2_000,
         Arrival {
-            prompt: 4_500,
+            prompt_tokens: 4_500,
             ..arrival(200)
         },
     );
@@ -521,16 +540,16 @@
     for id in 1..=300 {
         let mut actions = gateway.ask(50_000, arrival(id));
         assert!(!refused(&actions, id), "request {id} after {turned_away}");
-        for trial in 0.. {
+        for attempt in 0.. {
             let Some(&(_, replica)) = sends(&actions).first() else {
                 break;
             };
-            if trial < 2 && (u64::from(id) + replica).is_multiple_of(5) {
+            if attempt < 2 && (u64::from(id) + replica).is_multiple_of(5) {
                 turned_away += 1;
-                actions = gateway.step(5_000, vec![ended(id, trial, Outcome::Full, false)]);
+                actions = gateway.step(5_000, vec![ended(id, attempt, Outcome::Rejected, false)]);
             } else {
-                gateway.step(5_000, vec![first(id, trial, 10_000)]);
-                actions = gateway.step(1_000, vec![ended(id, trial, Outcome::Ok, true)]);
+                gateway.step(5_000, vec![first(id, attempt, 10_000)]);
+                actions = gateway.step(1_000, vec![ended(id, attempt, Outcome::Completed, true)]);
             }
         }
     }
@@ -542,16 +561,19 @@
 fn withdrawn_replicas_free_memory() {
     let mut gateway = Gateway::new(settings(), 2);
     for k in 2..500 {
-        let gone = Entry {
-            state: State::Terminated,
+        let gone = ReplicaEntry {
+            state: EndpointState::Removed,
             ..entry(k - 2)
         };
-        gateway.step(20_000, vec![list(ListKind::Partial, vec![gone, entry(k)])]);
+        gateway.step(
+            20_000,
+            vec![list(EndpointListKind::Partial, vec![gone, entry(k)])],
+        );
         let id = k as u32;
         let sent = sends(&gateway.ask(2_000, arrival(id)));
         assert!(sent.iter().all(|s| s.1 == k || s.1 == k - 1), "{sent:?}");
         gateway.step(5_000, vec![first(id, 0, 10_000)]);
-        gateway.step(1_000, vec![ended(id, 0, Outcome::Ok, true)]);
+        gateway.step(1_000, vec![ended(id, 0, Outcome::Completed, true)]);
     }
     assert!(
         gateway.balancer.tracked_replicas() <= 4,
@@ -566,16 +588,16 @@
     let mut gateway = Gateway::new(settings(), 1);
     assert_eq!(sends(&gateway.ask(2_000, arrival(1))).len(), 1);
     gateway.step(50_000, vec![first(1, 0, 50_000)]);
-    let (request, took, outcome) = (RequestId(1), Span::from_secs(4), Outcome::Reset);
-    let spoilt = Event::Ended {
+    let (request, elapsed, outcome) = (RequestId(1), Span::from_secs(4), Outcome::ConnectionReset);
+    let spoilt = Event::AttemptEnded(AttemptEnded {
         request,
-        trial: 0,
+        attempt: 0,
         outcome,
-        took,
-        kept: None,
-        closed: true,
-        report: None,
-    };
+        elapsed,
+        cached_tokens: None,
+        request_complete: true,
+        load_report: None,
+    });
     gateway.step(3_950_000, vec![spoilt]);
     gateway.step(1_500_000, vec![]);
     assert_eq!(sends(&gateway.ask(2_000, arrival(2))).len(), 1);
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -7,16 +7,19 @@
 use stilespan::interface::*;
 
 /// A replica that serves these models, each with its time to load in microseconds.
-fn serving(replica: u64, models: &[(u32, u64)]) -> Entry {
-    Entry {
-        models: Models::only(models.iter().map(|m| (m.0, Span::from_micros(m.1)))),
+fn serving(replica: u64, models: &[(u32, u64)]) -> ReplicaEntry {
+    ReplicaEntry {
+        models: ServedModels::only(models.iter().map(|&(model, load_time)| ServedModel {
+            model,
+            load_time: Span::from_micros(load_time),
+        })),
         ..entry(replica)
     }
 }
 
-fn gateway(entries: Vec<Entry>) -> Gateway {
+fn gateway(entries: Vec<ReplicaEntry>) -> Gateway {
     let mut gateway = Gateway::new(settings(), 0);
-    gateway.step(0, vec![list(ListKind::Complete, entries)]);
+    gateway.step(0, vec![list(EndpointListKind::Complete, entries)]);
     gateway
 }
 
@@ -39,7 +42,7 @@
         to.extend(sends(&gateway.ask(60_000, of(1, id))));
         gateway.step(
             1_000,
-            vec![first(id, 0, 1_000), ended(id, 0, Outcome::Ok, true)],
+            vec![first(id, 0, 1_000), ended(id, 0, Outcome::Completed, true)],
         );
     }
     assert_eq!(to.len(), 20);
@@ -47,7 +50,7 @@
     // one replica in 40 has it: draws that miss it are made up for in later steps
     let mut actions = gateway.ask(2_000, of(2, 50));
     for _ in 0..40 {
-        actions.extend(gateway.step(5_000, vec![Event::Timer { mark: 0 }]));
+        actions.extend(gateway.step(5_000, vec![Event::TimerFired { timer_id: 0 }]));
     }
     assert_eq!(sends(&actions), [(50, 23)]);
 }
@@ -57,7 +60,7 @@
     // both have both; the first is busy with model 1, so model 2 goes to the second, every time
     let mut gateway = gateway(vec![serving(0, &[(1, 0), (2, 0)]), serving(1, &[(2, 0)])]);
     let long = Arrival {
-        prompt: 6_000,
+        prompt_tokens: 6_000,
         ..of(1, 1)
     };
     assert_eq!(sends(&gateway.ask(2_000, long)), [(1, 0)]);
@@ -74,14 +77,14 @@
         gateway.ask(
             2_000,
             Arrival {
-                prompt: 6_000,
+                prompt_tokens: 6_000,
                 ..of(1, 1)
             },
         );
         assert!(gateway.ask(2_000, of(2, 2)).is_empty());
         let actions = gateway.step(
             2_000,
-            vec![list(ListKind::Partial, vec![serving(0, &[(1, 0)])])],
+            vec![list(EndpointListKind::Partial, vec![serving(0, &[(1, 0)])])],
         );
         assert!(refused(&actions, 2), "{actions:?}");
     } else {
@@ -96,7 +99,7 @@
         assert_eq!(sends(&gateway.ask(100_000, of(1, id))), [(id, 1)]);
         gateway.step(
             1_000,
-            vec![first(id, 0, 1_000), ended(id, 0, Outcome::Ok, true)],
+            vec![first(id, 0, 1_000), ended(id, 0, Outcome::Completed, true)],
         );
     }
     // a load beyond the aim is not begun at all
@@ -104,7 +107,7 @@
     gateway.step(
         0,
         vec![list(
-            ListKind::Complete,
+            EndpointListKind::Complete,
             vec![serving(0, &[(1, 3_000_000)])],
         )],
     );
@@ -115,7 +118,7 @@
 fn attempts_under_earlier_ids_count() {
     let mut gateway = gateway(vec![serving(0, &[(1, 0)]), serving(1, &[(1, 0)])]);
     let mut arrival = of(1, 1);
-    arrival.spent = 2;
+    arrival.prior_attempts = 2;
     assert_eq!(sends(&gateway.ask(2_000, arrival)).len(), 1);
     let actions = gateway.step(2_000, vec![ended(1, 0, Outcome::Error, false)]);
     assert!(
@@ -123,12 +126,12 @@
         "{actions:?}"
     );
     let spent = Arrival {
-        spent: 3,
+        prior_attempts: 3,
         ..of(1, 2)
     };
     let mut actions = gateway.ask(500_000, spent);
     for _ in 0..60 {
-        actions.extend(gateway.step(100_000, vec![Event::Timer { mark: 0 }]));
+        actions.extend(gateway.step(100_000, vec![Event::TimerFired { timer_id: 0 }]));
     }
     assert!(
         sends(&actions).is_empty() && refused(&actions, 2),
@@ -139,7 +142,7 @@
 /// A home for a session is the same at every gateway, and has the session's model.
 #[test]
 fn a_sessions_home_has_its_model() {
-    let entries: Vec<Entry> = (0..6)
+    let entries: Vec<ReplicaEntry> = (0..6)
         .map(|k| serving(k, &[(1 + (k % 2) as u32, 0)]))
         .collect();
     for session in 0..40 {
@@ -148,7 +151,7 @@
             let mut gateway = gateway(entries.clone());
             let asked = Arrival {
                 session: Some(session),
-                prompt: 900,
+                prompt_tokens: 900,
                 ..of(1, 1)
             };
             let to = sends(&gateway.ask(2_000, asked));
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -18,15 +18,15 @@
 fn turn(request: u32, session: u64, prompt: u32) -> Arrival {
     if session == 0 {
         return Arrival {
-            prompt,
+            prompt_tokens: prompt,
             ..arrival(request)
         };
     }
     Arrival {
         session: Some(session),
         prefix: Some(7),
-        shared: OPENING,
-        prompt,
+        shared_prefix_tokens: OPENING,
+        prompt_tokens: prompt,
         ..arrival(request)
     }
 }
@@ -34,7 +34,7 @@
 /// A gateway and servers that keep what they have read, unless `forget` has them lose it at once.
 struct Site {
     gateway: Gateway,
-    kept: HashMap<(u64, u64), u32>,
+    cached_tokens: HashMap<(u64, u64), u32>,
     forget: bool,
     last: u32,
 }
@@ -43,7 +43,7 @@
     fn new(servers: u64) -> Site {
         Site {
             gateway: Gateway::new(settings(), servers),
-            kept: HashMap::new(),
+            cached_tokens: HashMap::new(),
             forget: false,
             last: 0,
         }
@@ -61,7 +61,9 @@
             if refused(&actions, id) {
                 return (None, true);
             }
-            actions = self.gateway.step(10_000, vec![Event::Timer { mark: 0 }]);
+            actions = self
+                .gateway
+                .step(10_000, vec![Event::TimerFired { timer_id: 0 }]);
         }
         (None, false)
     }
@@ -70,33 +72,33 @@
     fn play(&mut self, session: u64, prompt: u32) -> Option<u64> {
         let (to, _) = self.ask(session, prompt);
         let (to, id) = (to?, self.last);
-        let kept = self
-            .kept
+        let cached_tokens = self
+            .cached_tokens
             .get(&(to, session))
             .copied()
             .unwrap_or(0)
             .min(prompt - 1);
         if !self.forget {
-            self.kept.insert((to, session), prompt);
+            self.cached_tokens.insert((to, session), prompt);
         }
-        let took = 20_000 + READ_US * u64::from(prompt - kept);
-        self.gateway.step(took, vec![first(id, 0, took)]);
-        self.end(Outcome::Ok, 100_000, Some(kept));
+        let elapsed = 20_000 + READ_US * u64::from(prompt - cached_tokens);
+        self.gateway.step(elapsed, vec![first(id, 0, elapsed)]);
+        self.end(Outcome::Completed, 100_000, Some(cached_tokens));
         Some(to)
     }
 
-    fn end(&mut self, outcome: Outcome, took: u64, kept: Option<u32>) {
-        let (request, trial, closed, report) = (RequestId(self.last), 0, true, None);
-        let ended = Event::Ended {
+    fn end(&mut self, outcome: Outcome, elapsed: u64, cached_tokens: Option<u32>) {
+        let (request, attempt, request_complete, report) = (RequestId(self.last), 0, true, None);
+        let ended = Event::AttemptEnded(AttemptEnded {
             request,
-            trial,
+            attempt,
             outcome,
-            took: Span::from_micros(took),
-            kept,
-            closed,
-            report,
-        };
-        self.gateway.step(took, vec![ended]);
+            elapsed: Span::from_micros(elapsed),
+            cached_tokens,
+            request_complete,
+            load_report: report,
+        });
+        self.gateway.step(elapsed, vec![ended]);
     }
 
     /// Several sessions of some turns each; the server of the first one's last turn.
@@ -150,13 +152,14 @@
     let at = site.met(6).expect("a server");
     // a turn there gets no first token, long after it was to come: nothing further goes there
     assert_eq!(site.ask(1, 15_000).0, Some(at));
-    site.gateway.step(500_000, vec![Event::Timer { mark: 0 }]);
+    site.gateway
+        .step(500_000, vec![Event::TimerFired { timer_id: 0 }]);
     assert_eq!(site.ask(1, 15_000), (None, true));
-    let gone = Entry {
-        state: State::Terminating,
+    let gone = ReplicaEntry {
+        state: EndpointState::Draining,
         ..entry(at)
     };
     site.gateway
-        .step(1_000, vec![list(ListKind::Partial, vec![gone])]);
+        .step(1_000, vec![list(EndpointListKind::Partial, vec![gone])]);
     assert!(site.ask(1, 15_000).0.is_some_and(|to| to != at));
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -46,7 +46,7 @@
             balancer.step(world.now, &events, &mut actions);
             for action in &actions {
                 world.check(action);
-                if let Action::Timer { at, .. } = action {
+                if let Action::SetTimer { at, .. } = action {
                     timers.insert(*at);
                 }
             }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use stilespan::interface::{ReplicaId, Span, State, Timestamp};
+use stilespan::interface::{EndpointState, ReplicaId, Span, Timestamp};
 use stilespan::routing::*;
 use stilespan::spend::Price;
 
@@ -39,7 +39,7 @@
     for (k, name) in with.iter().enumerate() {
         inventory.set_listed(
             ReplicaId(k as u64),
-            State::InService,
+            EndpointState::InService,
             Timestamp::ZERO,
             Some(&[name.to_string()]),
         );
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use stilespan::Balancer;
 use stilespan::config::Config;
-use stilespan::interface::{Arrival, Event, ListKind, Outcome, Span, Timestamp};
+use stilespan::interface::{Arrival, EndpointListKind, Event, Outcome, Span, Timestamp};
 
 /// The places of all values in a JSON value that hold no others.
 fn leaves(value: &Value, at: String, all: &mut Vec<String>) {
@@ -36,15 +36,18 @@
     let mut now = start;
     let classes = config.settings.classes.len() as u32;
     let steps: Vec<Vec<Event>> = vec![
-        vec![list(ListKind::Persisted, (0..3).map(entry).collect())],
+        vec![list(
+            EndpointListKind::Persisted,
+            (0..3).map(entry).collect(),
+        )],
         (0..9)
             .map(|n| {
                 let class = n % (classes + 1);
                 let valid_until = Timestamp::from_micros(start.as_micros() + 2_000_000);
-                Event::Request(Arrival {
+                Event::RequestReceived(Arrival {
                     class,
-                    valid_until,
-                    prompt: n * 100_000,
+                    expires_at: valid_until,
+                    prompt_tokens: n * 100_000,
                     ..arrival(n)
                 })
             })
@@ -54,15 +57,17 @@
                 if n % 2 == 0 {
                     first(n, 0, 30_000)
                 } else {
-                    ended(n, 0, Outcome::Reset, false)
+                    ended(n, 0, Outcome::ConnectionReset, false)
                 }
             })
             .collect(),
         vec![
-            list(ListKind::Error, Vec::new()),
-            list(ListKind::Partial, vec![entry(7)]),
+            list(EndpointListKind::Error, Vec::new()),
+            list(EndpointListKind::Partial, vec![entry(7)]),
         ],
-        (0..9).map(|n| ended(n, 0, Outcome::Ok, true)).collect(),
+        (0..9)
+            .map(|n| ended(n, 0, Outcome::Completed, true))
+            .collect(),
         Vec::new(),
     ];
     for events in steps {
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -12,15 +12,15 @@
 #[test]
 fn new_gateways_send_by_size() {
     let size = |k: u64| if k < 40 { 1.0 } else { 18.0 };
-    let entries: Vec<Entry> = (0..60)
-        .map(|k| Entry {
-            rating: size(k),
+    let entries: Vec<ReplicaEntry> = (0..60)
+        .map(|k| ReplicaEntry {
+            weight: size(k),
             ..entry(k)
         })
         .collect();
     let mut fleet = Fleet::new(
         &Settings {
-            instances: GATEWAYS,
+            router_count: GATEWAYS,
             ..settings()
         },
         &entries,
@@ -42,21 +42,21 @@
 #[test]
 fn urgent_requests_get_large_replicas() {
     let pressed = Class {
-        aim: Span::from_millis(400),
+        first_token_objective: Span::from_millis(400),
         ..probing().classes[0].clone()
     };
     let spare = Class {
-        aim: Span::from_secs(60),
+        first_token_objective: Span::from_secs(60),
         deadline: Span::from_secs(90),
         ..pressed.clone()
     };
     let set = Settings {
         classes: vec![pressed, spare],
-        instances: GATEWAYS,
+        router_count: GATEWAYS,
         ..probing()
     };
-    let entries = |k| Entry {
-        rating: if k < 20 { 4.0 } else { 8.0 },
+    let entries = |k| ReplicaEntry {
+        weight: if k < 20 { 4.0 } else { 8.0 },
         ..entry(k)
     };
     let mut to_large = [0, 0];
@@ -69,21 +69,27 @@
             };
             gateway.step(
                 0,
-                vec![list(ListKind::Persisted, (0..40).map(entries).collect())],
+                vec![list(
+                    EndpointListKind::Persisted,
+                    (0..40).map(entries).collect(),
+                )],
             );
             let ask = Arrival {
                 class,
-                valid_until: START + Span::from_secs(80),
+                expires_at: START + Span::from_secs(80),
                 ..arrival(1)
             };
-            let mut actions = gateway.step(0, vec![Event::Request(ask)]);
+            let mut actions = gateway.step(0, vec![Event::RequestReceived(ask)]);
             for _ in 0..50 {
                 let sent = sends(&actions).into_iter().filter(|s| s.1 >= 20).count();
                 to_large[class as usize] += sent;
                 let answers = probes(&actions)
                     .into_iter()
-                    .map(|k| told(k, Outcome::Ok, Some([0.0, 4.0, 0.1, 0.1])));
-                actions = gateway.step(2_000, answers.chain([Event::Timer { mark: 0 }]).collect());
+                    .map(|k| told(k, Outcome::Completed, Some(load_report(0.0, 4.0, 0.1))));
+                actions = gateway.step(
+                    2_000,
+                    answers.chain([Event::TimerFired { timer_id: 0 }]).collect(),
+                );
             }
         }
     }
--- a/tests/stalls.rs
+++ b/tests/stalls.rs
@@ -8,7 +8,7 @@
 use common::scripted::*;
 use stilespan::core::actor::{Core, CoreOptions};
 use stilespan::core::{DiscoveryCommand, EndpointsUpdate, Message, UpstreamCommand};
-use stilespan::interface::{Class, ListKind, ReplicaId, Settings, State};
+use stilespan::interface::{Class, EndpointListKind, EndpointState, ReplicaId, Settings};
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep, timeout};
 
@@ -32,7 +32,7 @@
     let hosts = vec![host(1, "127.0.0.1:1", 0), host(2, "127.0.0.1:2", 0)];
     messages
         .send(Message::EndpointsUpdated(EndpointsUpdate {
-            kind: ListKind::Complete,
+            kind: EndpointListKind::Complete,
             endpoints: hosts,
         }))
         .await
@@ -81,11 +81,11 @@
         "sent before the refresh"
     );
     let mut drained = host(1, "127.0.0.1:1", 0);
-    drained.entry.state = State::Terminating;
+    drained.entry.state = EndpointState::Draining;
     let hosts = vec![drained, host(2, "127.0.0.1:2", 0)];
     messages
         .send(Message::EndpointsUpdated(EndpointsUpdate {
-            kind: ListKind::Complete,
+            kind: EndpointListKind::Complete,
             endpoints: hosts,
         }))
         .await
@@ -105,7 +105,7 @@
         assert_eq!(order(&mut asked).await, Some(DiscoveryCommand::Refresh));
         if answered {
             let failed = EndpointsUpdate {
-                kind: ListKind::Error,
+                kind: EndpointListKind::Error,
                 endpoints: Vec::new(),
             };
             messages
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: what is read, what is written, and what is turned down.
 
 use stilespan::interface::*;
-use stilespan::wire::{Line, Reader, parse_settings, replica_id};
+use stilespan::wire::{Line, Reader, parse_settings};
 
 const SETTINGS: &str = r#"{"n-instances": 3, "me": 0, "zone": 1, "period": 0.002, "discovery": "ask", "new-key": [1],
  "classes": [{"objective": 1.2, "deadline": 5.0, "effect": "idempotency_key", "group": "cell", "repeat-window": 4.0,
@@ -29,16 +29,25 @@
 fn settings_are_read_and_unknown_keys_skipped() {
     let set = parse_settings(SETTINGS).unwrap();
     assert_eq!(
-        (set.instances, set.zone, set.ask, set.max_attempts),
+        (
+            set.router_count,
+            set.zone,
+            set.endpoints_on_request,
+            set.max_attempts
+        ),
         (3, 1, true, 3)
     );
     assert_eq!(
-        (set.must_ask_in, set.drain_grace),
+        (set.staleness_bound, set.drain_grace),
         (Span::from_secs(10), Span::from_secs(2))
     );
     let class = &set.classes[0];
     assert_eq!(
-        (class.aim, class.aim_per_1000, class.pace),
+        (
+            class.first_token_objective,
+            class.first_token_objective_per_1000_prompt_tokens,
+            class.token_interval_objective
+        ),
         (
             Span::from_millis(1_200),
             Span::from_millis(60),
@@ -46,14 +55,25 @@
         )
     );
     assert_eq!(
-        (class.effect, class.group, class.window),
-        (Effect::Keyed, Group::Cell, Span::from_secs(4))
+        (
+            class.idempotency,
+            class.deduplication_scope,
+            class.deduplication_window
+        ),
+        (
+            Idempotency::Keyed,
+            DeduplicationScope::Cell,
+            Span::from_secs(4)
+        )
     );
     assert_eq!(
-        (set.quotas[0], set.cross_price, set.resume),
+        (set.quotas[0], set.cross_zone_cost, set.stream_resumption),
         (30.5, 0.03, true)
     );
-    assert_eq!(set.report, [Field::Errors, Field::Queue]);
+    assert_eq!(
+        set.load_report_fields,
+        [LoadReportField::ErrorsPerSecond, LoadReportField::Queued]
+    );
 }
 
 #[test]
@@ -83,7 +103,7 @@
     let mut r = reader();
     let inbound = "INBOUND i=3 ref=1564119492 cls=2 account=1 key=91f03b7c55d20a64 valid-until=8.65225 size-hint=0.012 \
                    shared-prefix=2b8e6401d9f37c10 prompt-len=1800 shared-len=1200 output-cap=256 options=19";
-    let Event::Request(a) = event(&mut r, inbound) else {
+    let Event::RequestReceived(a) = event(&mut r, inbound) else {
         panic!()
     };
     assert_eq!(
@@ -95,72 +115,78 @@
         (Some(0x91f0_3b7c_55d2_0a64), Some(0x2b8e_6401_d9f3_7c10))
     );
     assert_eq!(
-        (a.prompt, a.shared, a.cap, a.valid_until),
+        (
+            a.prompt_tokens,
+            a.shared_prefix_tokens,
+            a.max_output_tokens,
+            a.expires_at
+        ),
         (1800, 1200, 256, Timestamp::from_micros(8_652_250))
     );
-    assert!(a.repeat && a.resumed && a.hint == Span::from_millis(12));
+    assert!(a.is_retry && a.resumed && a.expected_work == Span::from_millis(12));
     let first = event(
         &mut r,
         "HEADERS i=3 ref=7 trial=1 replica=replica_a took=0.00925",
     );
     assert!(matches!(
         first,
-        Event::First {
+        Event::FirstToken {
             request: RequestId(7),
-            trial: 1,
-            took
-        } if took == Span::from_micros(9_250)
+            attempt: 1,
+            elapsed
+        } if elapsed == Span::from_micros(9_250)
     ));
     assert!(matches!(
         event(&mut r, "EXPIRED i=3 ref=9"),
-        Event::Gone {
+        Event::ClientDisconnected {
             request: RequestId(9)
         }
     ));
     assert!(
-        matches!(event(&mut r, "ELAPSED mark=9223372036854775808 i=3"), Event::Timer { mark } if mark == 1 << 63)
+        matches!(event(&mut r, "ELAPSED mark=9223372036854775808 i=3"), Event::TimerFired { timer_id } if timer_id == 1 << 63)
     );
-    let Event::Peer { from: 2, bytes } = event(&mut r, "FROM_PEER i=3 src=2 contents=aGkgNw==")
+    let Event::PeerMessage { from: 2, bytes } =
+        event(&mut r, "FROM_PEER i=3 src=2 contents=aGkgNw==")
     else {
         panic!()
     };
     assert_eq!(&*bytes, b"hi 7");
     assert!(
-        matches!(event(&mut r, "FROM_PEER i=3 src=2 contents=-"), Event::Peer { bytes, .. } if bytes.is_empty())
+        matches!(event(&mut r, "FROM_PEER i=3 src=2 contents=-"), Event::PeerMessage { bytes, .. } if bytes.is_empty())
     );
     let probe = "CHECK_RESULT i=3 took=0.0014 result=0 replica=replica_a telemetry=0.5,3,140,0.4";
     assert!(matches!(
         event(&mut r, probe),
-        Event::Probed {
-            outcome: Outcome::Ok,
-            report: Some(_),
+        Event::HealthCheckEnded(HealthCheckEnded {
+            outcome: Outcome::Completed,
+            load_report: Some(_),
             ..
-        }
+        })
     ));
     for (code, want) in [
-        (0, Outcome::Ok),
+        (0, Outcome::Completed),
         (1, Outcome::Cancelled),
         (4, Outcome::Timeout),
-        (8, Outcome::Full),
-        (9, Outcome::Moot),
-        (10, Outcome::Reset),
+        (8, Outcome::Rejected),
+        (9, Outcome::NeverSent),
+        (10, Outcome::ConnectionReset),
         (13, Outcome::Error),
         (14, Outcome::ConnectFailed),
     ] {
         let line = format!(
             "RETURNED i=3 ref=1 note=40 closed=1 trial=0 result={code} replica=replica_a took=1e-05"
         );
-        let Event::Ended {
+        let Event::AttemptEnded(AttemptEnded {
             outcome,
-            closed: true,
-            kept: Some(40),
-            took,
+            request_complete: true,
+            cached_tokens: Some(40),
+            elapsed,
             ..
-        } = event(&mut r, &line)
+        }) = event(&mut r, &line)
         else {
             panic!("{line}")
         };
-        assert_eq!(took, Span::from_micros(10));
+        assert_eq!(elapsed, Span::from_micros(10));
         assert_eq!(
             (outcome, outcome.never_ran()),
             (want, [8, 9, 14].contains(&code))
@@ -177,8 +203,8 @@
             "REPLICA model=0 lifecycle={state} launched=6.1 az=1 replica={name} pod=4 rating=1.5"
         ))
         .unwrap();
-        let Event::Members {
-            kind: ListKind::Partial,
+        let Event::EndpointsUpdated {
+            kind: EndpointListKind::Partial,
             entries,
         } = event(&mut r, "MEMBERSHIP i=3 how=Partial generation=41 sheet=15")
         else {
@@ -186,20 +212,20 @@
         };
         assert_eq!(
             (entries[0].replica, entries[0].cell, entries[0].zone),
-            (replica_id(name), 4, 1)
+            (ReplicaId::from_name(name), 4, 1)
         );
-        assert_eq!(entries[0].started, Timestamp::from_millis(6_100));
+        assert_eq!(entries[0].started_at, Timestamp::from_millis(6_100));
     }
     r.line("DIRECTORY sheet=0 members-list=0").unwrap();
     let empty = event(&mut r, "MEMBERSHIP i=3 how=Complete generation=42 sheet=0");
     assert!(
-        matches!(empty, Event::Members { kind: ListKind::Complete, entries } if entries.is_empty())
+        matches!(empty, Event::EndpointsUpdated { kind: EndpointListKind::Complete, entries } if entries.is_empty())
     );
     let failed = event(&mut r, "MEMBERSHIP i=3 how=Error generation=0");
     assert!(matches!(
         failed,
-        Event::Members {
-            kind: ListKind::Error,
+        Event::EndpointsUpdated {
+            kind: EndpointListKind::Error,
             ..
         }
     ));
@@ -211,49 +237,55 @@
     r.line("DIRECTORY sheet=0 members-list=1").unwrap();
     r.line("REPLICA lifecycle=in_service replica=replica_a")
         .unwrap();
-    let (request, replica) = (RequestId(5), replica_id("replica_a"));
+    let (request, replica) = (RequestId(5), ReplicaId::from_name("replica_a"));
     let actions = [
         (
-            Action::Send {
+            Action::StartAttempt {
                 request,
                 replica,
-                give_up: Some(Span::from_millis(80)),
+                timeout: Some(Span::from_millis(80)),
             },
             "DISPATCH i=3 ref=5 replica=replica_a give-up-after=0.080000",
         ),
         (
-            Action::Send {
+            Action::StartAttempt {
                 request,
                 replica,
-                give_up: None,
+                timeout: None,
             },
             "DISPATCH i=3 ref=5 replica=replica_a",
         ),
         (
-            Action::Cancel { request, trial: 1 },
+            Action::CancelAttempt {
+                request,
+                attempt: 1,
+            },
             "RETRACT i=3 ref=5 trial=1",
         ),
         (
-            Action::Refuse {
+            Action::Reject {
                 request,
-                retry_in: Some(Span::from_millis(250)),
+                retry_after: Some(Span::from_millis(250)),
             },
             "REFUSE i=3 ref=5 retry-in=0.250000",
         ),
         (
-            Action::Refuse {
+            Action::Reject {
                 request,
-                retry_in: None,
+                retry_after: None,
             },
             "REFUSE i=3 ref=5",
         ),
         (Action::Fail { request }, "ABORT i=3 ref=5"),
-        (Action::Probe { replica }, "POLL i=3 replica=replica_a"),
-        (Action::Watch, "KEEP_INFORMED i=3 on=1"),
         (
-            Action::Timer {
+            Action::CheckHealth { replica },
+            "POLL i=3 replica=replica_a",
+        ),
+        (Action::WatchEndpoints, "KEEP_INFORMED i=3 on=1"),
+        (
+            Action::SetTimer {
                 at: Timestamp::from_micros(8_912_250),
-                mark: 77,
+                timer_id: 77,
             },
             "WAKE_ME i=3 due-at=8.912250 mark=77",
         ),
