--- a/benches/edge.rs
+++ b/benches/edge.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
+use fake_servers::{ModelServer, RequestLog, ServerOptions};
 use serde_json::json;
-use standins::{ModelServer, Spec, Tally};
 use stilespan::identity;
 use stilespan::net::http::{Buffer, read_response};
 use tokio::io::AsyncWriteExt;
@@ -193,16 +193,16 @@
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() {
-    let spec = |slots, first| Spec {
+    let spec = |max_concurrent_requests, first_token_delay| ServerOptions {
         models: vec!["hint".into()],
-        slots,
-        first,
-        ..Spec::default()
+        max_concurrent_requests,
+        first_token_delay,
+        ..ServerOptions::default()
     };
     let mut quick = Vec::new();
     for _ in 0..4 {
         quick.push(
-            ModelServer::start(spec(256, Duration::ZERO), Tally::default())
+            ModelServer::start(spec(256, Duration::ZERO), RequestLog::default())
                 .await
                 .unwrap(),
         );
@@ -266,7 +266,7 @@
         "\n| school a asks 40 a second, b | shares | a: p50 ms | a: p99 ms | a: not served of 240 |\n| --- | --- | --- | --- | --- |"
     );
     let narrow = [
-        ModelServer::start(spec(6, Duration::from_millis(40)), Tally::default())
+        ModelServer::start(spec(6, Duration::from_millis(40)), RequestLog::default())
             .await
             .unwrap(),
     ];
--- /dev/null
+++ b/crates/cluster_test/src/check/tests.rs
@@ -0,0 +1,103 @@
+//! Each rule finds its violation, and nothing where it is kept.
+
+use super::*;
+use crate::record::{DrainNotification, RequestOutcome, RequestRecord};
+use crate::scenario::{Action, LinkFault, ScheduledStep, Target};
+
+fn request(outcome: RequestOutcome, elapsed_ms: u64) -> RequestRecord {
+    RequestRecord {
+        trace_id: "0000a".into(),
+        router: 0,
+        sent_at_ms: 1_000,
+        outcome,
+        elapsed_ms,
+    }
+}
+
+fn attempt(trace_id: &str, server: usize, received_at_ms: u64) -> AttemptRecord {
+    AttemptRecord {
+        trace_id: trace_id.into(),
+        router: 0,
+        server,
+        received_at_ms,
+    }
+}
+
+fn step(at_ms: u64, action: Action, is_start: bool) -> ScheduledStep {
+    ScheduledStep {
+        at_ms,
+        action,
+        target: Target {
+            router: 0,
+            server: 0,
+        },
+        is_start,
+    }
+}
+
+fn record() -> RunRecord {
+    RunRecord {
+        client_timeout_ms: 1_000,
+        requests: vec![request(RequestOutcome::Completed, 50)],
+        ..RunRecord::default()
+    }
+}
+
+#[test]
+fn attempt_rules_and_crashes_are_checked() {
+    let mut record = record();
+    record.attempts = (0..3)
+        .map(|server| attempt("0000a", server, 1_000))
+        .collect();
+    assert_eq!(violations(&record), Vec::<String>::new());
+    record.attempts.push(attempt("0000a", 3, 1_100));
+    record.attempts.push(attempt("0000b", 3, 1_100));
+    (record.overlapping_attempts, record.crashed_routers) = (1, vec![0]);
+    assert_eq!(violations(&record).len(), 4, "{:?}", violations(&record));
+}
+
+#[test]
+fn suspended_router_excuses_lost_requests() {
+    for (outcome, elapsed_ms, lost) in [
+        (RequestOutcome::Rejected, 900, 0),
+        (RequestOutcome::TimedOut, 1_600, 1),
+        (RequestOutcome::ConnectionLost, 5, 1),
+        (RequestOutcome::Completed, 1_600, 1),
+    ] {
+        let mut record = RunRecord {
+            requests: vec![request(outcome, elapsed_ms)],
+            ..record()
+        };
+        assert_eq!(lost_requests(&record).len(), lost, "{outcome:?}");
+        record.schedule = vec![
+            step(900, Action::SuspendRouter, true),
+            step(1_050, Action::SuspendRouter, false),
+        ];
+        assert_eq!(lost_requests(&record).len(), 0, "{outcome:?}");
+    }
+}
+
+#[test]
+fn drain_bound_follows_notification() {
+    let mut record = record();
+    record.schedule = vec![step(2_000, Action::DrainServer, true)];
+    record.drain_notifications = vec![DrainNotification {
+        router: 0,
+        revision: 2,
+        server: 0,
+        sent_at_ms: 2_000,
+    }];
+    record.attempts = vec![attempt("0000a", 0, 2_500), attempt("0000a", 0, 2_600)];
+    assert_eq!(attempts_after_drain(&record).len(), 1);
+    // a watch that is silent moves the bound
+    let stall = Action::DiscoveryLink(LinkFault::Stall);
+    record.schedule.splice(..0, [step(1_000, stall, true)]);
+    assert_eq!(attempts_after_drain(&record).len(), 0);
+    record.attempts.push(attempt("0000a", 0, 8_600));
+    assert_eq!(attempts_after_drain(&record).len(), 1);
+    // a process that was restarted at 8 s may use its own list until that is stale
+    record.schedule.push(step(8_000, Action::KillRouter, false));
+    assert_eq!(attempts_after_drain(&record).len(), 0);
+    record.attempts.push(attempt("0000a", 0, 10_600));
+    assert_eq!(attempts_after_drain(&record).len(), 1);
+}
--- /dev/null
+++ b/crates/cluster_test/src/router_config.rs
@@ -0,0 +1,32 @@
+//! The configuration that routers under test are started with.
+
+use std::net::SocketAddr;
+
+use serde_json::{Value, json};
+
+use crate::discovery;
+
+/// How stale a router's endpoint list may become before it must poll (`must-ask-in`), in
+/// milliseconds.
+pub(crate) const STALENESS_BOUND_MS: u64 = 2_000;
+
+/// A router's configuration as the platform writes it, for one of several routers. Its listening
+/// address is added when its process is started.
+pub fn router_config(
+    routers: usize,
+    router: usize,
+    discovery: SocketAddr,
+    servers: &[SocketAddr],
+) -> Value {
+    json!({"name": format!("n{router}"), "discovery": discovery.to_string(),
+        "seed": format!("{:016x}", 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(router as u64 + 1)),
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": discovery::initial_list(servers),
+        "settings": {"n-instances": routers, "period": 0.002, "discovery": "ask", "localities": ["a"],
+            "classes": [{"name": "hint", "objective": 0.4, "deadline": 1.5, "effect": "read_like",
+                "streaming": true, "credit": 3.0, "late-worth": 0.0}],
+            "specifics": {"aim-us-per-1000-prompt-tokens": [60000.0], "token-aim": [0.06], "resume": true},
+            "guarantees": {"drain-grace": 0.5, "fall": 1.5, "fall-multiple": 4.0,
+                "must-ask-in": STALENESS_BOUND_MS as f64 / 1e3, "start-capacity": 0.3, "warm-after": 8.9},
+            "limits": {"max-attempts": 3, "cancel": true, "conn-idle": 30.0, "connect-timeout": 0.25}}})
+}
--- /dev/null
+++ b/crates/fake_servers/src/lib.rs
@@ -0,0 +1,12 @@
+//! Fake model servers for the tests, benches and examples of stilespan, written from the public
+//! specification of their API. They listen on loopback addresses, log the attempts that reach
+//! them, and fail as they are told to. The router itself never depends on this crate.
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod http;
+pub mod model_server;
+pub mod request_log;
+
+pub use model_server::{Adapter, Fault, ModelServer, ResponseDefect, ServerOptions};
+pub use request_log::{Attempt, AttemptState, RequestLog};
--- /dev/null
+++ b/crates/fake_servers/src/model_server/chat.rs
@@ -0,0 +1,129 @@
+//! Chat completions: admission, loading of adapters and the wait for the first token.
+
+use serde_json::Value;
+use tokio::time::{Instant, sleep};
+
+use super::stream::AnswerStream;
+use super::{Fault, ModelServer};
+use crate::http::{Connection, Request};
+use crate::request_log::{Attempt, AttemptState, RunningAttempt};
+
+/// Characters that make one token.
+const CHARACTERS_PER_TOKEN: usize = 4;
+
+/// The fields of a request that matter here.
+pub(super) struct ChatRequest {
+    pub(super) model: String,
+    pub(super) prompt_tokens: u64,
+    /// The most tokens of the answer, where the request has a limit.
+    max_tokens: Option<u64>,
+}
+
+impl ChatRequest {
+    /// Reads a body. Fields that are missing or malformed count as empty.
+    fn parse(body: &[u8]) -> ChatRequest {
+        let body: Value = serde_json::from_slice(body).unwrap_or_default();
+        ChatRequest {
+            model: body["model"].as_str().unwrap_or_default().to_string(),
+            prompt_tokens: count_prompt_tokens(&body),
+            max_tokens: body["max_tokens"].as_u64(),
+        }
+    }
+}
+
+fn count_prompt_tokens(body: &Value) -> u64 {
+    let messages = body["messages"].as_array().into_iter().flatten();
+    let characters: usize = messages
+        .filter_map(|message| message["content"].as_str())
+        .map(|content| content.chars().count())
+        .sum();
+    (characters.div_ceil(CHARACTERS_PER_TOKEN) as u64).max(1)
+}
+
+impl ModelServer {
+    /// Answers a chat completion. Returns whether the connection can be used again.
+    pub(super) async fn chat(&self, connection: &mut Connection, request: &Request) -> bool {
+        let chat = ChatRequest::parse(&request.body);
+        let attempt = self.log_attempt(request, &chat);
+        let fault = self.state().fault;
+        if self.options.base_model(&chat.model).is_none() {
+            attempt.finish(AttemptState::Failed);
+            return respond_error(connection, "404 Not Found", "").await;
+        }
+        if fault == Fault::InternalError {
+            attempt.finish(AttemptState::Failed);
+            return respond_error(connection, "500 Internal Server Error", "").await;
+        }
+        let permit = self.capacity.try_acquire().ok();
+        let Some(_permit) = permit.filter(|_| fault != Fault::Overloaded) else {
+            attempt.finish(AttemptState::Failed);
+            let headers = "X-Never-Ran: 1\r\n";
+            return respond_error(connection, "503 Service Unavailable", headers).await;
+        };
+        let completed = tokio::select! {
+            biased;
+            () = self.first_token(&chat.model, fault) => {
+                self.stream(connection, &chat, fault, &attempt).await
+            }
+            () = connection.closed() => false,
+        };
+        if !completed {
+            attempt.finish(AttemptState::ClientDisconnected);
+        }
+        completed
+    }
+
+    fn log_attempt(&self, request: &Request, chat: &ChatRequest) -> RunningAttempt {
+        let attempt = Attempt {
+            server: self.options.name.clone(),
+            model: chat.model.clone(),
+            prompt_tokens: chat.prompt_tokens,
+            written_tokens: 0,
+            state: AttemptState::Running,
+            received_at: Instant::now(),
+        };
+        let trace_id = request.trace_id.as_deref().unwrap_or_default();
+        self.request_log
+            .begin(trace_id, attempt, request.has_authorization)
+    }
+
+    /// Waits until the first token is ready; forever where the server hangs.
+    async fn first_token(&self, model: &str, fault: Fault) {
+        if fault == Fault::Hang {
+            std::future::pending::<()>().await;
+        }
+        let is_adapter = self.options.adapter(model).is_some();
+        if is_adapter && !self.state().loaded_adapters.contains(model) {
+            sleep(self.options.adapter_load_time).await;
+            self.state().loaded_adapters.insert(model.into());
+        }
+        let slowdown = self.state().slowdown();
+        sleep(self.options.first_token_delay * slowdown).await;
+    }
+
+    /// Streams the answer. Returns whether it was written completely.
+    async fn stream(
+        &self,
+        connection: &mut Connection,
+        chat: &ChatRequest,
+        fault: Fault,
+        attempt: &RunningAttempt,
+    ) -> bool {
+        let max_tokens = chat.max_tokens.unwrap_or(u64::MAX);
+        let stream = AnswerStream {
+            chat,
+            answer_tokens: self.options.answer_tokens.min(max_tokens),
+            token_interval: self.options.token_interval,
+            fault,
+            defect: self.state().defect,
+            paused: self.streams_paused.subscribe(),
+            attempt,
+        };
+        stream.write(connection).await.is_ok()
+    }
+}
+
+/// Answers with an error. Returns whether the connection can be used again.
+async fn respond_error(connection: &mut Connection, status: &str, headers: &str) -> bool {
+    connection.respond(status, headers, "no").await.is_ok()
+}
--- /dev/null
+++ b/crates/fake_servers/src/model_server/mod.rs
@@ -0,0 +1,161 @@
+//! A fake model server: chat completions as streams in the public OpenAI form, `GET /v1/models`,
+//! adapters that are loaded at their first use, a limit on concurrent requests, and faults. One
+//! token is four characters.
+
+mod chat;
+mod faults;
+mod options;
+mod stream;
+
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use serde_json::{Value, json};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{Semaphore, watch};
+
+use crate::http::{Connection, Request};
+use crate::request_log::RequestLog;
+use faults::ServerState;
+
+pub use faults::{Fault, ResponseDefect};
+pub use options::{Adapter, ServerOptions};
+
+/// A running server. It stops with its runtime.
+#[derive(Clone)]
+pub struct ModelServer {
+    /// The address that it listens on.
+    pub address: String,
+    options: Arc<ServerOptions>,
+    state: Arc<Mutex<ServerState>>,
+    request_log: RequestLog,
+    /// One permit for each request that may run.
+    capacity: Arc<Semaphore>,
+    /// Changes when all connections are to be closed.
+    disconnections: Arc<watch::Sender<u64>>,
+    /// Whether answers wait after their first token.
+    streams_paused: Arc<watch::Sender<bool>>,
+}
+
+impl ModelServer {
+    /// Starts a server on a free port of 127.0.0.1.
+    pub async fn start(
+        options: ServerOptions,
+        request_log: RequestLog,
+    ) -> std::io::Result<ModelServer> {
+        ModelServer::start_at("127.0.0.1:0", options, request_log).await
+    }
+
+    /// Starts a server on an address.
+    pub async fn start_at(
+        address: &str,
+        options: ServerOptions,
+        request_log: RequestLog,
+    ) -> std::io::Result<ModelServer> {
+        let listener = TcpListener::bind(address).await?;
+        let server = ModelServer {
+            address: listener.local_addr()?.to_string(),
+            capacity: Arc::new(Semaphore::new(options.max_concurrent_requests)),
+            options: Arc::new(options),
+            state: Arc::default(),
+            request_log,
+            disconnections: Arc::new(watch::channel(0).0),
+            streams_paused: Arc::new(watch::channel(false).0),
+        };
+        let acceptor = server.clone();
+        tokio::spawn(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                let _ = stream.set_nodelay(true);
+                tokio::spawn(acceptor.clone().serve(stream));
+            }
+        });
+        Ok(server)
+    }
+
+    fn state(&self) -> MutexGuard<'_, ServerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Sets what the server does wrong from now on. [`Fault::Down`] closes its connections and
+    /// unloads its adapters.
+    pub fn set_fault(&self, fault: Fault) {
+        let mut state = self.state();
+        state.fault = fault;
+        if fault == Fault::Down {
+            state.loaded_adapters.clear();
+            self.disconnections.send_modify(|count| *count += 1);
+        }
+    }
+
+    /// Sets what is wrong with the server's answers from now on.
+    pub fn set_response_defect(&self, defect: ResponseDefect) {
+        self.state().defect = defect;
+    }
+
+    /// Puts the server into the state after a restart: no fault, nothing loaded, and the time to
+    /// the first token is multiplied by `slowdown` while it warms up.
+    pub fn start_cold(&self, slowdown: u32, warm_up: Duration) {
+        self.state().start_cold(slowdown, warm_up);
+    }
+
+    /// Sets whether answers wait after their first token.
+    pub fn pause_streams(&self, paused: bool) {
+        self.streams_paused.send_replace(paused);
+    }
+
+    /// Serves a connection to its end, or until all connections are closed.
+    async fn serve(self, stream: TcpStream) {
+        let mut disconnections = self.disconnections.subscribe();
+        disconnections.mark_unchanged();
+        let mut connection = Connection::new(stream);
+        tokio::select! {
+            biased;
+            _ = disconnections.changed() => {}
+            () = self.serve_requests(&mut connection) => {}
+        }
+    }
+
+    async fn serve_requests(&self, connection: &mut Connection) {
+        while let Some(request) = connection.next_request().await {
+            if self.state().fault == Fault::Down {
+                return;
+            }
+            if !self.answer(connection, &request).await {
+                return;
+            }
+        }
+    }
+
+    /// Answers a request. Returns whether the connection can be used again.
+    async fn answer(&self, connection: &mut Connection, request: &Request) -> bool {
+        let answered = match (request.method.as_str(), request.path.as_str()) {
+            ("GET", "/ping") => connection.respond("200 OK", "", "ok").await,
+            ("GET", "/v1/models") if self.options.lists_models => {
+                self.list_models(connection).await
+            }
+            ("POST", "/v1/chat/completions") => return self.chat(connection, request).await,
+            _ => connection.respond("404 Not Found", "", "no").await,
+        };
+        answered.is_ok()
+    }
+
+    /// Lists the base models and the adapters that are loaded.
+    async fn list_models(&self, connection: &mut Connection) -> std::io::Result<()> {
+        let loaded: Vec<String> = self.state().loaded_adapters.iter().cloned().collect();
+        let models: Vec<Value> = self
+            .options
+            .models
+            .iter()
+            .chain(&loaded)
+            .map(|model| json!({"id": model, "object": "model"}))
+            .collect();
+        let list = json!({"object": "list", "data": models});
+        connection
+            .respond(
+                "200 OK",
+                "Content-Type: application/json\r\n",
+                &list.to_string(),
+            )
+            .await
+    }
+}
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -10,8 +10,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+use fake_servers::{ModelServer, RequestLog, ServerOptions};
 use serde_json::{Value, json};
-use standins::{ModelServer, Spec, Tally};
 use stilespan::net::http::{Buffer, read_response};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -37,14 +37,14 @@
     let program = std::env::args()
         .nth(1)
         .unwrap_or_else(|| "target/release/stilespan".into());
-    let tally = Tally::default();
-    let spec = |name: &str, models: &[&str]| Spec {
+    let tally = RequestLog::default();
+    let spec = |name: &str, models: &[&str]| ServerOptions {
         name: name.into(),
         models: models.iter().map(|m| m.to_string()).collect(),
-        first: Duration::from_millis(40),
-        pace: Duration::from_millis(10),
-        tokens: 12,
-        ..Spec::default()
+        first_token_delay: Duration::from_millis(40),
+        token_interval: Duration::from_millis(10),
+        answer_tokens: 12,
+        ..ServerOptions::default()
     };
     let fast = ModelServer::start(spec("fast-1", &["hint"]), tally.clone()).await?;
     let old = ModelServer::start(spec("old-1", &["hint", "marker"]), tally.clone()).await?;
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -20,7 +20,7 @@
     Run(#[from] RunError),
     /// The descriptor that the platform passes can't be used.
     #[error("GW_FD: {0}")]
-    InheritedListener(#[source] inherited::Error),
+    InheritedListener(#[source] inherited_listener::ListenerError),
     /// An inventory can't be used.
     #[error("{}: {source}", path.display())]
     Inventory {
--- a/src/main.rs
+++ b/src/main.rs
@@ -146,11 +146,11 @@
 }
 
 /// The listening socket that `GW_FD` names, or why it can't be used.
-type InheritedSocket = Result<std::net::TcpListener, inherited::Error>;
+type InheritedSocket = Result<std::net::TcpListener, inherited_listener::ListenerError>;
 
 fn main() -> ExitCode {
     // before anything opens a descriptor: one that isn't open may get the named number
-    let listener = variable("GW_FD").map(|number| inherited::listener(&number));
+    let listener = variable("GW_FD").map(|number| inherited_listener::take(&number));
     let args: Args = argh::from_env();
     let log_form = match &args.command {
         Command::Serve(serve) => serve.log,
--- a/tests/batch_faults.rs
+++ b/tests/batch_faults.rs
@@ -8,12 +8,12 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
+use cluster_test::injection::{Call, Fault, Injection, Rule, errno};
 use common::client::{Client, Got};
 use common::folder::Folder;
 use common::process::Running;
-use lab::injection::{Call, Fault, Injection, Rule, errno};
+use fake_servers::{ModelServer, RequestLog, ServerOptions};
 use serde_json::{Value, json};
-use standins::{ModelServer, Spec, Tally};
 use stilespan::identity;
 use tokio::time::{sleep, timeout};
 
@@ -179,10 +179,10 @@
 
 #[tokio::test]
 async fn batch_lines_survive_failing_calls() {
-    let (folder, tally) = (Folder::new(), Tally::default());
-    let spec = Spec {
+    let (folder, tally) = (Folder::new(), RequestLog::default());
+    let spec = ServerOptions {
         models: vec!["hint".into()],
-        ..Spec::default()
+        ..ServerOptions::default()
     };
     let server = ModelServer::start(spec, tally.clone()).await.unwrap();
     write_settings(&folder, &server);
@@ -204,7 +204,7 @@
         .map(|outcome| outcome["custom_id"].as_str())
         .collect();
     assert_eq!((ids.len(), outcomes.len()), (LINES, LINES));
-    assert!(tally.attempts() >= LINES + CHATS);
+    assert!(tally.attempt_count() >= LINES + CHATS);
     for rule in rules() {
         assert!(
             injection.count(rule.call).unwrap() > 0,
--- a/tests/common/injected.rs
+++ b/tests/common/injected.rs
@@ -7,9 +7,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-use lab::discovery::Discovery;
-use lab::injection::{Injection, Rule};
-use lab::{Process, router_config};
+use cluster_test::discovery::Discovery;
+use cluster_test::injection::{Injection, Rule};
+use cluster_test::{RouterProcess, router_config};
 use serde_json::json;
 use tempfile::TempDir;
 use tokio::io::AsyncWriteExt;
@@ -36,7 +36,7 @@
 
 /// The router, its peers and what it suffers. Its process goes first when it is dropped.
 pub struct InjectedRouter {
-    pub process: Process,
+    pub process: RouterProcess,
     pub injection: Injection,
     pub servers: Vec<Peer>,
     pub discovery: Discovery,
@@ -64,9 +64,10 @@
         injection.arm(false).unwrap();
         injection.set_clock_offset(offset).unwrap();
         let program = Path::new(env!("CARGO_BIN_EXE_stilespan"));
-        let process = Process::start_under(Some(&injection), program, folder.path(), &config)
-            .await
-            .unwrap();
+        let process =
+            RouterProcess::start_with_faults(Some(&injection), program, folder.path(), &config)
+                .await
+                .unwrap();
         assert_eq!(
             injection.starts().unwrap(),
             1,
--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -7,9 +7,9 @@
 
 use common::folder::Folder;
 use common::peers::*;
+use fake_servers::{AttemptState, Fault, ModelServer, RequestLog, ResponseDefect, ServerOptions};
 use rstest::rstest;
 use serde_json::{Value, json};
-use standins::{End, Fault, Lie, ModelServer, Spec, Tally};
 use stilespan::config::Config;
 use stilespan::identity;
 use stilespan::router::RouterOptions;
@@ -65,7 +65,7 @@
 struct Site {
     router: Router,
     servers: Vec<ModelServer>,
-    tally: Tally,
+    tally: RequestLog,
     folder: Folder,
 }
 
@@ -92,8 +92,8 @@
     format!("terms = [\"2020-01-01\"]\n{MODELS}{nodes}")
 }
 
-async fn site(specs: Vec<Spec>, nodes: &str) -> Site {
-    let (folder, tally) = (Folder::new(), Tally::default());
+async fn site(specs: Vec<ServerOptions>, nodes: &str) -> Site {
+    let (folder, tally) = (Folder::new(), RequestLog::default());
     let mut servers = Vec::new();
     for spec in specs {
         servers.push(ModelServer::start(spec, tally.clone()).await.unwrap());
@@ -141,11 +141,11 @@
     site
 }
 
-fn spec(name: &str, models: &[&str]) -> Spec {
-    Spec {
+fn spec(name: &str, models: &[&str]) -> ServerOptions {
+    ServerOptions {
         name: name.into(),
         models: models.iter().map(|m| m.to_string()).collect(),
-        ..Spec::default()
+        ..ServerOptions::default()
     }
 }
 
@@ -334,7 +334,7 @@
     // 20 + 7 at 2 and 4, 20 + 10 twice at 1; a refusal costs nothing
     assert_eq!(site.spent("lakes").await, (20 * 2 + 7 * 4 + 30 + 30, 0));
     assert_eq!(
-        site.tally.with_authorization(),
+        site.tally.attempts_with_authorization(),
         0,
         "keys never reach a model server"
     );
@@ -365,22 +365,22 @@
         );
         assert!(got.head.get("www-authenticate").is_some());
     }
-    assert_eq!(site.tally.attempts(), 0);
+    assert_eq!(site.tally.attempt_count(), 0);
 }
 
 /// Hard case 1: the preferred model's hosts are all dead; the fallback's have just started.
 #[tokio::test]
 async fn a_cold_fallback_answers_or_refuses_within_the_deadline() {
     let mut cold = spec("cold", &["hint"]);
-    cold.first = Duration::from_millis(20);
+    cold.first_token_delay = Duration::from_millis(20);
     let site = site(
         vec![spec("m1", &["marker"]), spec("m2", &["marker"]), cold],
         NODES,
     )
     .await;
-    site.servers[0].fault(Fault::Dead);
-    site.servers[1].fault(Fault::Dead);
-    site.servers[2].cold(5, Duration::from_secs(10));
+    site.servers[0].set_fault(Fault::Down);
+    site.servers[1].set_fault(Fault::Down);
+    site.servers[2].start_cold(5, Duration::from_secs(10));
     // the list tells that it has just started
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -427,7 +427,7 @@
         assert!(attempts.len() <= most, "{trace}: {attempts:?}");
     }
     assert_eq!(
-        site.tally.overlaps(),
+        site.tally.overlapping_attempts(),
         0,
         "two attempts of a request at once"
     );
@@ -437,7 +437,7 @@
 #[tokio::test]
 async fn a_budget_that_runs_out_ends_its_streams_clearly() {
     let mut slow = spec("a", &["hint"]);
-    (slow.pace, slow.tokens) = (Duration::from_millis(5), 60);
+    (slow.token_interval, slow.answer_tokens) = (Duration::from_millis(5), 60);
     let nodes = NODES.replace(
         "path = \"lakes/north/7b\"",
         "path = \"lakes/north/7b\"\nbudgets = [{ per = \"term\", tokens = 2_500 }]",
@@ -478,7 +478,7 @@
     );
     assert!(used <= 2_500 + 80, "{used}");
     until("attempts of cut streams are called off", || {
-        site.tally.running() == 0
+        site.tally.running_attempts() == 0
     })
     .await;
     let dropped = site
@@ -486,7 +486,7 @@
         .requests()
         .values()
         .flatten()
-        .filter(|a| a.end == End::Dropped)
+        .filter(|a| a.state == AttemptState::ClientDisconnected)
         .count();
     assert_eq!(dropped, cut);
     // and at once, with when to come back
@@ -513,8 +513,8 @@
 #[tokio::test]
 async fn a_client_that_goes_between_two_models_leaves_nothing_behind() {
     let site = site(vec![spec("m", &["marker"]), spec("h", &["hint"])], NODES).await;
-    site.servers[0].fault(Fault::Error);
-    site.servers[1].fault(Fault::Freeze);
+    site.servers[0].set_fault(Fault::InternalError);
+    site.servers[1].set_fault(Fault::Hang);
     let mut client = Client::new(&site.router.batch).await;
     client
         .send(&post(
@@ -533,13 +533,13 @@
     })
     .await;
     drop(client);
-    until("it is called off", || site.tally.running() == 0).await;
+    until("it is called off", || site.tally.running_attempts() == 0).await;
     sleep(Duration::from_millis(100)).await;
     check(&site, 3);
-    let attempts = site.tally.attempts();
+    let attempts = site.tally.attempt_count();
     sleep(Duration::from_millis(500)).await;
     assert_eq!(
-        site.tally.attempts(),
+        site.tally.attempt_count(),
         attempts,
         "nothing is sent for it any more"
     );
@@ -562,14 +562,14 @@
         NODES,
     )
     .await;
-    site.servers[0].fault(Fault::Error);
-    site.servers[1].fault(Fault::Error);
+    site.servers[0].set_fault(Fault::InternalError);
+    site.servers[1].set_fault(Fault::InternalError);
     let mut served = 0;
     for k in 0..12 {
         if k == 8 {
             // a frozen model leaves the fallback time too
-            site.servers[0].fault(Fault::Freeze);
-            site.servers[1].fault(Fault::Freeze);
+            site.servers[0].set_fault(Fault::Hang);
+            site.servers[1].set_fault(Fault::Hang);
         }
         let start = Instant::now();
         let got = site
@@ -599,13 +599,13 @@
 #[tokio::test]
 async fn the_preferred_model_is_taken_again_once_it_is_back() {
     let site = site(vec![spec("m", &["marker"]), spec("h", &["hint"])], NODES).await;
-    site.servers[0].fault(Fault::Dead);
-    site.servers[1].fault(Fault::Full);
+    site.servers[0].set_fault(Fault::Down);
+    site.servers[1].set_fault(Fault::Overloaded);
     let got = site
         .ask("lakes/north/7b", chat("marker", json!({"max_tokens": 5})))
         .await;
     assert!([502, 503].contains(&got.head.status), "{got:?}");
-    site.servers[0].fault(Fault::None);
+    site.servers[0].set_fault(Fault::None);
     let start = Instant::now();
     loop {
         let got = site
@@ -621,14 +621,14 @@
 }
 
 #[rstest]
-#[case::no_usage(Lie::NoUsage)]
-#[case::huge(Lie::Huge)]
-#[case::twice(Lie::Twice)]
-#[case::another_name(Lie::OtherName)]
+#[case::no_usage(ResponseDefect::MissingUsage)]
+#[case::huge(ResponseDefect::ImplausibleUsage)]
+#[case::twice(ResponseDefect::RepeatedUsage)]
+#[case::another_name(ResponseDefect::WrongModelName)]
 #[tokio::test]
-async fn a_server_that_lies_is_charged_for_what_it_wrote(#[case] lie: Lie) {
+async fn a_server_that_lies_is_charged_for_what_it_wrote(#[case] lie: ResponseDefect) {
     let site = site(vec![spec("a", &["hint"])], NODES).await;
-    site.servers[0].lie(lie);
+    site.servers[0].set_response_defect(lie);
     let got = site
         .ask("lakes/north/7b", chat("hint", json!({"max_tokens": 10})))
         .await;
@@ -636,7 +636,7 @@
         (got.head.status, got.head.get("x-served-model")),
         (200, Some("hint"))
     );
-    let named = if lie == Lie::OtherName {
+    let named = if lie == ResponseDefect::WrongModelName {
         "another"
     } else {
         "hint"
@@ -653,7 +653,10 @@
 #[tokio::test]
 async fn an_adapter_runs_where_its_base_is() {
     let mut host = spec("a", &["hint"]);
-    host.adapters = vec![("maths".into(), "hint".into())];
+    host.adapters = vec![fake_servers::Adapter {
+        name: "maths".into(),
+        base_model: "hint".into(),
+    }];
     let site = site(vec![host, spec("b", &["marker"])], NODES).await;
     let got = site
         .ask("lakes/north/7b", chat("maths", json!({"max_tokens": 5})))
@@ -672,10 +675,14 @@
 #[tokio::test]
 async fn a_reload_leaves_what_is_under_way_its_chain_and_price() {
     let mut slow = spec("a", &["hint", "marker"]);
-    (slow.slots, slow.pace, slow.tokens) = (400, Duration::from_millis(2), 10);
+    (
+        slow.max_concurrent_requests,
+        slow.token_interval,
+        slow.answer_tokens,
+    ) = (400, Duration::from_millis(2), 10);
     let site = site(vec![slow.clone(), slow], NODES).await;
     for server in &site.servers {
-        server.hold(true);
+        server.pause_streams(true);
     }
     let asks =
         (0..200).map(|_| site.ask("lakes/north/7b", chat("marker", json!({"max_tokens": 10}))));
@@ -715,7 +722,7 @@
         let got = site.ask("lakes/north/7b", chat("marker", json!({}))).await;
         assert_eq!(got.head.status, 404, "{got:?}");
         for server in &site.servers {
-            server.hold(false);
+            server.pause_streams(false);
         }
     };
     let (all, ()) = tokio::join!(futures_util::future::join_all(asks), change);
@@ -742,7 +749,7 @@
 #[tokio::test]
 async fn a_revoked_key_ends_the_rest_of_its_batch() {
     let mut slow = spec("a", &["hint"]);
-    slow.first = Duration::from_millis(30);
+    slow.first_token_delay = Duration::from_millis(30);
     let site = site(vec![slow], NODES).await;
     let line = |k: usize| {
         let body = chat("hint", json!({"max_tokens": 5}));
--- a/tests/edge_load.rs
+++ b/tests/edge_load.rs
@@ -10,8 +10,8 @@
 
 use common::folder::Folder;
 use common::peers::*;
+use fake_servers::{AttemptState, Fault, ModelServer, RequestLog, ServerOptions};
 use serde_json::{Value, json};
-use standins::{End, Fault, ModelServer, Spec, Tally};
 use stilespan::config::Config;
 use stilespan::identity;
 use stilespan::router::RouterOptions;
@@ -130,7 +130,7 @@
 
 #[tokio::test]
 async fn stand_ins_clients_and_ledger_agree_to_the_token() {
-    let (folder, tally) = (Folder::new(), Tally::default());
+    let (folder, tally) = (Folder::new(), RequestLog::default());
     let mut servers = Vec::new();
     for (name, models) in [
         ("a", &["marker"][..]),
@@ -139,13 +139,13 @@
         ("d", &["hint", "tiny"]),
         ("e", &["tiny"]),
     ] {
-        let spec = Spec {
+        let spec = ServerOptions {
             name: name.into(),
             models: models.iter().map(|m| m.to_string()).collect(),
-            slots: 16,
-            first: Duration::from_millis(3),
-            pace: Duration::from_micros(300),
-            ..Spec::default()
+            max_concurrent_requests: 16,
+            first_token_delay: Duration::from_millis(3),
+            token_interval: Duration::from_micros(300),
+            ..ServerOptions::default()
         };
         servers.push(ModelServer::start(spec, tally.clone()).await.unwrap());
     }
@@ -163,17 +163,17 @@
     let (next, all) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     // what goes wrong, by how many requests have begun
     let script: &[(usize, usize, Fault)] = &[
-        (150, 0, Fault::Dead),
-        (350, 2, Fault::Freeze),
+        (150, 0, Fault::Down),
+        (350, 2, Fault::Hang),
         (500, 0, Fault::None),
-        (600, 1, Fault::Error),
+        (600, 1, Fault::InternalError),
         (750, 2, Fault::None),
-        (900, 3, Fault::Break(2)),
+        (900, 3, Fault::BreakStreamAfter(2)),
         (1_000, 1, Fault::None),
-        (1_100, 4, Fault::Full),
+        (1_100, 4, Fault::Overloaded),
         (1_300, 3, Fault::None),
         (1_400, 4, Fault::None),
-        (1_500, 0, Fault::Freeze),
+        (1_500, 0, Fault::Hang),
         (1_700, 0, Fault::None),
     ];
     let cold = Arc::new(AtomicUsize::new(0));
@@ -186,9 +186,9 @@
             }
             for (_, server, fault) in script.iter().filter(|s| s.0 == k) {
                 if *fault == Fault::None && cold.fetch_add(1, Ordering::SeqCst).is_multiple_of(2) {
-                    servers[*server].cold(10, Duration::from_millis(300));
+                    servers[*server].start_cold(10, Duration::from_millis(300));
                 } else {
-                    servers[*server].fault(*fault);
+                    servers[*server].set_fault(*fault);
                 }
             }
             let got = one(&mut client, &router.batch, k).await;
@@ -198,12 +198,12 @@
     futures_util::future::join_all(workers).await;
     let all = all.into_inner().unwrap();
     assert_eq!(all.len(), REQUESTS, "each request has its one answer");
-    until("the servers are at rest", || tally.running() == 0).await;
+    until("the servers are at rest", || tally.running_attempts() == 0).await;
 
     // servers: at most three attempts, never two at once; one whole answer for each client that has
     // one
     let requests = tally.requests();
-    assert_eq!(tally.overlaps(), 0);
+    assert_eq!(tally.overlapping_attempts(), 0);
     assert!(requests.values().all(|a| a.len() <= 3));
     let price = |model: &str| {
         MODELS
@@ -222,18 +222,18 @@
                 let model = got.model.as_deref().unwrap();
                 let last = attempts.last().unwrap();
                 assert_eq!(
-                    (last.model.as_str(), last.prompt),
+                    (last.model.as_str(), last.prompt_tokens),
                     (model, got.prompt),
                     "{}",
                     got.trace
                 );
                 if got.whole && !got.cut {
-                    assert_eq!(last.end, End::Whole, "{}", got.trace);
-                    assert_eq!(last.written, got.answer, "{}", got.trace);
+                    assert_eq!(last.state, AttemptState::Completed, "{}", got.trace);
+                    assert_eq!(last.written_tokens, got.answer, "{}", got.trace);
                     served += 1;
                 } else {
                     // broken off by the server, or cut where the budget ended: charged is what came
-                    assert!(last.written >= got.answer, "{}", got.trace);
+                    assert!(last.written_tokens >= got.answer, "{}", got.trace);
                     broken += 1;
                 }
                 let (prompt, answer) = price(model);
@@ -280,10 +280,10 @@
     use std::io::{BufRead, BufReader};
     use std::process::{Command, Stdio};
 
-    let (folder, tally) = (Folder::new(), Tally::default());
-    let spec = Spec {
+    let (folder, tally) = (Folder::new(), RequestLog::default());
+    let spec = ServerOptions {
         models: vec!["marker".into(), "hint".into(), "tiny".into()],
-        ..Spec::default()
+        ..ServerOptions::default()
     };
     let servers = [ModelServer::start(spec, tally.clone()).await.unwrap()];
     files(&folder, &servers);
@@ -357,7 +357,7 @@
     tokio::join!(flood, live);
     let grown = resident(program.id()).saturating_sub(before);
     assert!(grown < 4_096, "{grown} KiB more after 20,000 wrong keys");
-    assert_eq!(tally.attempts(), 60);
+    assert_eq!(tally.attempt_count(), 60);
     program.kill().unwrap();
     program.wait().unwrap();
     let log = logged.join().unwrap();
--- a/tests/faults/failing_calls.rs
+++ b/tests/faults/failing_calls.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use lab::injection::{Call, Fault, Rule, errno};
+use cluster_test::injection::{Call, Fault, Rule, errno};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
--- a/tests/faults/play.rs
+++ b/tests/faults/play.rs
@@ -6,9 +6,9 @@
 use std::thread::{JoinHandle, spawn};
 use std::time::{Duration, Instant};
 
-use lab::discovery::Discovery;
-use lab::injection::Injection;
-use lab::{LabError, Process, router_config};
+use cluster_test::discovery::Discovery;
+use cluster_test::injection::Injection;
+use cluster_test::{ClusterError, RouterProcess, router_config};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
@@ -107,7 +107,7 @@
 }
 
 /// Plays a seed with processes of this program.
-pub async fn play(seed: u64, program: &Path, calls: SystemCalls) -> Result<Played, LabError> {
+pub async fn play(seed: u64, program: &Path, calls: SystemCalls) -> Result<Played, ClusterError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let folder = tempfile::tempdir()?;
     let (recorder, over) = (Arc::new(Recorder::new()), Arc::new(AtomicBool::new(false)));
@@ -130,7 +130,9 @@
             SystemCalls::Sound => None,
             SystemCalls::Failing => Some(Injection::new(&folder, seed, &rules)?),
         };
-        processes.push(Process::start_under(injection.as_ref(), program, &folder, &config).await?);
+        processes.push(
+            RouterProcess::start_with_faults(injection.as_ref(), program, &folder, &config).await?,
+        );
         injections.extend(injection);
     }
     let until = Instant::now() + LENGTH;
@@ -185,11 +187,11 @@
 /// Does to one router what its draws say, until the clients' time is over.
 async fn trouble(
     router: usize,
-    mut process: Process,
+    mut process: RouterProcess,
     mut rng: StdRng,
     until: Instant,
     recorder: Arc<Recorder>,
-) -> Result<Process, LabError> {
+) -> Result<RouterProcess, ClusterError> {
     loop {
         sleep(Duration::from_millis(rng.random_range(300..1500))).await;
         if Instant::now() >= until {
@@ -203,24 +205,24 @@
         let from = Instant::now();
         match act {
             Act::Stop(long) => {
-                process.stop()?;
+                process.suspend()?;
                 sleep(long).await;
-                process.wake()?;
+                process.resume()?;
                 recorder.outage(router, OutageKind::Stopped, from);
             }
             Act::Kill => {
                 process.restart()?;
-                process.ready().await?;
+                process.wait_until_ready().await?;
                 recorder.outage(router, OutageKind::Killed, from);
             }
             Act::End => {
                 process.terminate()?;
-                while !process.ended() && from.elapsed() < GRACE {
+                while !process.has_exited() && from.elapsed() < GRACE {
                     sleep(Duration::from_millis(5)).await;
                 }
                 let late = Instant::now();
                 process.restart()?;
-                process.ready().await?;
+                process.wait_until_ready().await?;
                 if late - from >= GRACE {
                     recorder.outage(router, OutageKind::Killed, late);
                 }
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -3,12 +3,12 @@
 
 use std::path::Path;
 
-use lab::{End, Record, Scenario, check};
+use cluster_test::{RequestOutcome, RunRecord, Scenario, check};
 use rstest::rstest;
 
 /// Plays a scenario with each of its seeds, side by side, or with the seeds that `LAB_SEEDS` asks
 /// for (1 to so many). With `LAB_RECORDS` the records stay there as JSON.
-async fn play(name: &str) -> Vec<Record> {
+async fn play(name: &str) -> Vec<RunRecord> {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/scenarios/{name}.toml"));
     let scenario = Scenario::parse(&std::fs::read_to_string(&file).unwrap()).unwrap();
     let asked = std::env::var("LAB_SEEDS").ok().and_then(|n| n.parse().ok());
@@ -16,7 +16,9 @@
     let program = Path::new(env!("CARGO_BIN_EXE_stilespan"));
     let mut records = Vec::new();
     for seeds in seeds.chunks(5) {
-        let plays = seeds.iter().map(|&seed| lab::run(&scenario, seed, program));
+        let plays = seeds
+            .iter()
+            .map(|&seed| cluster_test::run_scenario(&scenario, seed, program));
         for record in futures_util::future::join_all(plays).await {
             records.push(record.unwrap());
         }
@@ -38,19 +40,19 @@
 #[tokio::test]
 async fn every_rule_holds(#[case] name: &str) {
     for record in play(name).await {
-        let broken = check::broken(&record);
+        let broken = check::violations(&record);
         assert!(
             broken.is_empty(),
             "{name}, seed {}: {broken:#?}",
             record.seed
         );
         let answered = record
-            .asked
+            .requests
             .iter()
-            .filter(|asked| asked.end == End::Answered)
+            .filter(|request| request.outcome == RequestOutcome::Completed)
             .count();
         assert!(
-            answered * 2 > record.asked.len(),
+            answered * 2 > record.requests.len(),
             "{name}, seed {}: {answered} answered",
             record.seed
         );
--- a/tests/lasting_failures.rs
+++ b/tests/lasting_failures.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use cluster_test::injection::{Call, Fault, Rule, errno};
 use common::injected::{Ends, InjectedRouter, RequestEnd};
-use lab::injection::{Call, Fault, Rule, errno};
 use tokio::time::{Instant, sleep};
 
 /// The calls fail for so long.
--- a/tests/syscall_faults.rs
+++ b/tests/syscall_faults.rs
@@ -7,10 +7,10 @@
 use std::process::Command;
 use std::time::Duration;
 
+use cluster_test::RouterProcess;
+use cluster_test::injection::{Call, Fault, Injection, Rule, errno};
 use common::injected::{InjectedRouter, RequestEnd};
 use common::platform::config_text;
-use lab::Process;
-use lab::injection::{Call, Fault, Injection, Rule, errno};
 use rstest::rstest;
 use tokio::time::{Instant, sleep};
 
@@ -207,13 +207,14 @@
     let config =
         serde_json::from_str(&config_text(&[("s-a", "127.0.0.1:9", "SERVING")], None)).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_stilespan"));
-    let started = Process::start_under(Some(&injection), program, folder.path(), &config).await;
+    let started =
+        RouterProcess::start_with_faults(Some(&injection), program, folder.path(), &config).await;
     let mut process = started.unwrap();
     injection.arm(true).unwrap();
     // the runtime reads of the signal from a socket pair
     process.terminate().unwrap();
     let start = Instant::now();
-    while !process.ended() {
+    while !process.has_exited() {
         assert!(start.elapsed() < Duration::from_secs(20), "it goes on");
         sleep(Duration::from_millis(10)).await;
     }
