--- a/crates/cluster_test/src/injection.rs
+++ b/crates/cluster_test/src/injection.rs
@@ -46,7 +46,7 @@
             .write(true)
             .create_new(true)
             .open(&state_path)?;
-        state.set_len((state::WORDS * state::WORD) as u64)?;
+        state.set_len((state::WORD_COUNT * state::WORD_BYTES) as u64)?;
         let injection = Injection {
             library,
             plan: write_plan(rules),
@@ -99,15 +99,15 @@
     }
 
     fn get(&self, word: usize) -> Result<u64, ClusterError> {
-        let mut bytes = [0; state::WORD];
+        let mut bytes = [0; state::WORD_BYTES];
         self.state
-            .read_exact_at(&mut bytes, (word * state::WORD) as u64)?;
+            .read_exact_at(&mut bytes, (word * state::WORD_BYTES) as u64)?;
         Ok(u64::from_ne_bytes(bytes))
     }
 
     fn set(&self, word: usize, value: u64) -> Result<(), ClusterError> {
         self.state
-            .write_all_at(&value.to_ne_bytes(), (word * state::WORD) as u64)?;
+            .write_all_at(&value.to_ne_bytes(), (word * state::WORD_BYTES) as u64)?;
         Ok(())
     }
 }
--- a/crates/decision_replay/src/adapter.rs
+++ b/crates/decision_replay/src/adapter.rs
@@ -1,13 +1,13 @@
-//! One running adapter process: batches in, replies out.
+//! A running adapter process: batches to its standard input, replies from its standard output.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::Path;
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// The line that ends a reply.
+/// What the line that ends a reply begins with.
 const END_OF_REPLY: &str = "READY ";
 
-/// A running adapter. It is ended when this is dropped.
+/// A running adapter process. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Adapter {
     process: Child,
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Sends one whole batch and reads its reply, up to and including the line that ends it.
+    /// Sends one complete batch and reads its reply, including the line that ends it.
     pub fn exchange(&mut self, batch: &str) -> io::Result<String> {
         self.input.write_all(batch.as_bytes())?;
         self.input.flush()?;
--- a/crates/decision_replay/src/sites.rs
+++ b/crates/decision_replay/src/deployments.rs
@@ -1,9 +1,9 @@
 //! The deployments that are replayed: settings that between them turn every feature of the decision module on and off.
 
-/// A deployment: its name, its settings and the number of its gateways and replicas.
+/// A deployment: its settings, and how many gateways and replicas it has.
 #[derive(Clone, Debug)]
-pub struct Site {
-    /// Name shown in the results.
+pub struct Deployment {
+    /// Name that the results show.
     pub name: &'static str,
     /// Gateways, all in one adapter process.
     pub gateways: usize,
@@ -17,13 +17,13 @@
     pub tenants: usize,
     /// Whether replicas report their load with their answers.
     pub reports_in_answers: bool,
-    /// Whether ratings in the list change with the load.
-    pub live_ratings: bool,
+    /// Whether weights in the endpoint list change at run time.
+    pub live_weights: bool,
     /// The settings, as JSON without the zone.
     settings: &'static str,
 }
 
-impl Site {
+impl Deployment {
     /// The settings of one gateway.
     pub fn settings(&self, zone: u32) -> String {
         let rest = self.settings.trim().trim_start_matches('{');
@@ -37,9 +37,9 @@
 }
 
 /// All deployments.
-pub fn all() -> Vec<Site> {
+pub fn all() -> Vec<Deployment> {
     vec![
-        Site {
+        Deployment {
             name: "streams-with-sessions",
             gateways: 3,
             replicas: 24,
@@ -47,10 +47,10 @@
             classes: 2,
             tenants: 2,
             reports_in_answers: true,
-            live_ratings: false,
+            live_weights: false,
             settings: STREAMS_WITH_SESSIONS,
         },
-        Site {
+        Deployment {
             name: "keyed-and-unsafe",
             gateways: 2,
             replicas: 12,
@@ -58,10 +58,10 @@
             classes: 3,
             tenants: 0,
             reports_in_answers: false,
-            live_ratings: true,
+            live_weights: true,
             settings: KEYED_AND_UNSAFE,
         },
-        Site {
+        Deployment {
             name: "many-gateways",
             gateways: 40,
             replicas: 16,
@@ -69,10 +69,10 @@
             classes: 2,
             tenants: 3,
             reports_in_answers: false,
-            live_ratings: false,
+            live_weights: false,
             settings: MANY_GATEWAYS,
         },
-        Site {
+        Deployment {
             name: "overloaded",
             gateways: 2,
             replicas: 5,
@@ -80,7 +80,7 @@
             classes: 2,
             tenants: 2,
             reports_in_answers: true,
-            live_ratings: false,
+            live_weights: false,
             settings: OVERLOADED,
         },
     ]
--- a/crates/decision_replay/src/fleet.rs
+++ b/crates/decision_replay/src/fleet.rs
@@ -1,25 +1,37 @@
-//! The replicas of a replayed deployment: how long answers take, which attempts fail, and how the list changes.
+//! The replicas of a replayed deployment: how long answers take, which attempts fail, and how the endpoint list changes.
 
 use rand::rngs::StdRng;
 use rand::{Rng, RngExt};
 
-use crate::lines::seconds;
+use crate::replies::seconds;
+use crate::wire_codes::{COMPLETED, CONNECT_FAILED, CONNECTION_RESET, ERROR, REJECTED};
 
 /// Zones over which replicas and gateways are spread.
 pub const ZONES: u32 = 3;
 /// Cells over which replicas are spread.
 const CELLS: u32 = 5;
-/// The most replicas that a list holds.
+/// The most replicas of a fleet.
 const MAX_REPLICAS: usize = 64;
 
-/// A replica's state as the list has it.
+/// Weights of the models' replicas in the endpoint list.
+const WEIGHTS: [f64; 3] = [1.0, 2.0, 0.5];
+/// Outcomes of attempts that fail.
+const FAILURES: [u32; 4] = [REJECTED, CONNECTION_RESET, ERROR, CONNECT_FAILED];
+/// Time to the first token of an empty prompt, in microseconds.
+const FIRST_TOKEN_US: f64 = 25_000.0;
+/// Time for each prompt token that is not cached, in microseconds.
+const PREFILL_US_PER_TOKEN: f64 = 60.0;
+/// Time between two tokens of an answer, in microseconds.
+const DECODE_US_PER_TOKEN: f64 = 1_500.0;
+
+/// A replica's state in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It takes requests.
+    /// It accepts requests.
     InService,
-    /// It finishes what it has.
+    /// It is draining.
     Terminating,
-    /// It is withdrawn.
+    /// It is removed.
     Terminated,
 }
 
@@ -30,29 +42,30 @@
     pub name: String,
     zone: u32,
     cell: u32,
-    kind: u32,
-    rating: f64,
-    launched: u64,
+    model: u32,
+    weight: f64,
+    /// When it was launched, in microseconds.
+    launched_at: u64,
     lifecycle: Lifecycle,
-    /// Multiplies the time that its answers take.
+    /// Multiplies the duration of its answers.
     slowness: f64,
-    /// Share of attempts that fail.
-    failing: f64,
-    /// Requests that it is working on.
+    /// Probability that an attempt fails.
+    failure_rate: f64,
+    /// Number of attempts in flight.
     pub in_flight: u32,
 }
 
-/// How an attempt goes.
+/// The course of an attempt whose timeout is not reached.
 #[derive(Clone, Copy, Debug)]
-pub struct Course {
-    /// Microseconds to the first token.
+pub struct AttemptCourse {
+    /// Microseconds from its start to the first token.
     pub first_token: u64,
-    /// Microseconds to the end.
+    /// Microseconds from its start to its end.
     pub end: u64,
     /// The wire's code of the outcome.
     pub outcome: u32,
-    /// Prompt tokens that were found cached.
-    pub cached: u32,
+    /// Prompt tokens that the replica had cached.
+    pub cached_tokens: u32,
 }
 
 /// All replicas.
@@ -63,63 +76,63 @@
 }
 
 impl Fleet {
-    /// A fleet in service; one in six has started lately.
+    /// A fleet in service. One replica in six was launched shortly before now.
     pub fn new(count: usize, now: u64, random: &mut StdRng) -> Fleet {
         let mut fleet = Fleet {
             replicas: Vec::new(),
             created: 0,
         };
         for number in 0..count {
-            let launched = if number % 6 == 5 { now - 3_000_000 } else { 0 };
-            fleet.launch(launched, random);
+            let launched_at = if number % 6 == 5 { now - 3_000_000 } else { 0 };
+            fleet.launch(launched_at, random);
         }
         fleet
     }
 
-    fn launch(&mut self, launched: u64, random: &mut StdRng) {
+    fn launch(&mut self, launched_at: u64, random: &mut StdRng) {
         self.created += 1;
-        let kind = random.random_range(0..3);
+        let model = random.random_range(0..WEIGHTS.len() as u32);
         self.replicas.push(Replica {
             name: format!("replica_{}", self.created),
             zone: random.random_range(0..ZONES),
             cell: random.random_range(0..CELLS),
-            kind,
-            rating: [1.0, 2.0, 0.5][kind as usize],
-            launched,
+            model,
+            weight: WEIGHTS[model as usize],
+            launched_at,
             lifecycle: Lifecycle::InService,
             slowness: if random.random_bool(0.12) {
                 6.0
             } else {
                 random.random_range(0.7..1.4)
             },
-            failing: if random.random_bool(0.1) { 0.5 } else { 0.01 },
+            failure_rate: if random.random_bool(0.1) { 0.5 } else { 0.01 },
             in_flight: 0,
         });
     }
 
-    /// A replica by its name.
+    /// The replica of this name.
     pub fn find(&mut self, name: &str) -> Option<&mut Replica> {
         self.replicas
             .iter_mut()
             .find(|replica| replica.name == name)
     }
 
-    /// The lines of the whole list.
+    /// The wire's lines of the complete endpoint list.
     pub fn complete_list(&self, sheet: usize) -> String {
         let listed: Vec<&Replica> = self
             .replicas
             .iter()
             .filter(|r| r.lifecycle != Lifecycle::Terminated)
             .collect();
-        lines(sheet, &listed)
+        list_lines(sheet, &listed)
     }
 
-    /// Changes one or more replicas; the lines of what has changed.
+    /// Changes one or more replicas. Returns the wire's lines of those that changed.
     pub fn change(
         &mut self,
         sheet: usize,
         now: u64,
-        live_ratings: bool,
+        live_weights: bool,
         random: &mut StdRng,
     ) -> String {
         let mut changed = Vec::new();
@@ -136,9 +149,9 @@
                 }
                 2 | 3 if replica.lifecycle == Lifecycle::Terminated => {
                     replica.lifecycle = Lifecycle::InService;
-                    replica.launched = now.saturating_sub(500_000);
+                    replica.launched_at = now.saturating_sub(500_000);
                 }
-                4 if live_ratings => replica.rating = random.random_range(0.1..3.0),
+                4 if live_weights => replica.weight = random.random_range(0.1..3.0),
                 5 if count < MAX_REPLICAS => {
                     self.launch(now, random);
                     changed.push(self.replicas.len() - 1);
@@ -150,42 +163,50 @@
         }
         changed.dedup();
         let entries: Vec<&Replica> = changed.iter().map(|&at| &self.replicas[at]).collect();
-        lines(sheet, &entries)
+        list_lines(sheet, &entries)
     }
 }
 
 impl Replica {
-    /// How an attempt on this replica goes.
-    pub fn course(&self, prompt: u32, output: u32, random: &mut impl Rng) -> Course {
-        let crowding = 1.0 + f64::from(self.in_flight) / (6.0 * self.rating);
-        let pace = self.slowness * crowding / self.rating.max(0.2);
-        let cached = if random.random_bool(0.3) {
-            prompt / 2
+    /// Draws the course of an attempt at this replica.
+    pub fn draw_attempt(
+        &self,
+        prompt_tokens: u32,
+        output_tokens: u32,
+        random: &mut impl Rng,
+    ) -> AttemptCourse {
+        let crowding = 1.0 + f64::from(self.in_flight) / (6.0 * self.weight);
+        let slowdown = self.slowness * crowding / self.weight.max(0.2);
+        let cached_tokens = if random.random_bool(0.3) {
+            prompt_tokens / 2
         } else {
             0
         };
-        let first = (f64::from(prompt - cached) * 60.0 + 25_000.0) * pace;
-        let rest = f64::from(output) * 1_500.0 * pace;
-        let outcome = match random.random_bool(self.failing) {
-            true => [8, 10, 13, 14][random.random_range(0..4)],
-            false => 0,
+        let first = (f64::from(prompt_tokens - cached_tokens) * PREFILL_US_PER_TOKEN
+            + FIRST_TOKEN_US)
+            * slowdown;
+        let rest = f64::from(output_tokens) * DECODE_US_PER_TOKEN * slowdown;
+        let outcome = match random.random_bool(self.failure_rate) {
+            true => FAILURES[random.random_range(0..FAILURES.len())],
+            false => COMPLETED,
         };
         let first_token = first as u64;
-        Course {
+        AttemptCourse {
             first_token,
             end: first_token + rest as u64,
             outcome,
-            cached,
+            cached_tokens,
         }
     }
 
-    /// Its load report, as many values as the settings name.
-    pub fn report(&self) -> String {
+    /// Its load report: the two values that the settings of every deployment name at least.
+    pub fn load_report(&self) -> String {
         format!("{},{}", self.in_flight, self.in_flight / 2)
     }
 }
 
-fn lines(sheet: usize, entries: &[&Replica]) -> String {
+/// The wire's lines of a list with these entries.
+fn list_lines(sheet: usize, entries: &[&Replica]) -> String {
     let mut text = format!("DIRECTORY sheet={sheet} members-list={}\n", entries.len());
     for replica in entries {
         let lifecycle = match replica.lifecycle {
@@ -198,9 +219,9 @@
             replica.name,
             replica.zone,
             replica.cell,
-            replica.kind,
-            replica.rating,
-            seconds(replica.launched),
+            replica.model,
+            replica.weight,
+            seconds(replica.launched_at),
         ));
     }
     text
--- a/crates/decision_replay/src/main.rs
+++ b/crates/decision_replay/src/main.rs
@@ -3,19 +3,21 @@
 //! A change that only renames or moves code of the decision module must leave every reply as it was. The events
 //! follow from the replies, so a single different decision also shows in what comes after it.
 //!
-//! Usage: `decision_replay BASE_ADAPTER CHANGED_ADAPTER [SEEDS_PER_SITE]`
+//! Usage: `decision_replay BASE_ADAPTER CHANGED_ADAPTER [SEEDS_PER_DEPLOYMENT]`
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod adapter;
-mod agenda;
 mod attempts;
+mod deployments;
+mod event_queue;
 mod fleet;
-mod lines;
 mod replay;
-mod sites;
+mod replies;
+mod requests;
+mod simulation;
 mod totals;
-mod world;
+mod wire_codes;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -23,31 +25,31 @@
 use replay::ReplayError;
 use totals::Totals;
 
-/// Seeds played on each site when the command line names no number.
-const DEFAULT_SEEDS_PER_SITE: u64 = 3;
+/// Seeds replayed on each deployment when the command line names no number.
+const DEFAULT_SEEDS: u64 = 3;
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let (base, changed) = match arguments.as_slice() {
         [base, changed, ..] => (PathBuf::from(base), PathBuf::from(changed)),
         _ => {
-            eprintln!("usage: decision_replay BASE_ADAPTER CHANGED_ADAPTER [SEEDS_PER_SITE]");
+            eprintln!("usage: decision_replay BASE_ADAPTER CHANGED_ADAPTER [SEEDS_PER_DEPLOYMENT]");
             return ExitCode::FAILURE;
         }
     };
     let seeds = arguments
         .get(2)
         .and_then(|text| text.parse().ok())
-        .unwrap_or(DEFAULT_SEEDS_PER_SITE);
+        .unwrap_or(DEFAULT_SEEDS);
     let mut sum = Totals::default();
-    for site in sites::all() {
+    for deployment in deployments::all() {
         for seed in 1..=seeds {
-            match replay::replay(&site, seed, &base, &changed) {
+            match replay::replay(&deployment, seed, &base, &changed) {
                 Ok(totals) => {
-                    println!("{} seed {seed}: {totals}", site.name);
+                    println!("{} seed {seed}: {totals}", deployment.name);
                     sum.add(&totals);
                 }
-                Err(error) => return report(site.name, seed, &error),
+                Err(error) => return report(deployment.name, seed, &error),
             }
         }
     }
@@ -55,7 +57,7 @@
     ExitCode::SUCCESS
 }
 
-fn report(site: &str, seed: u64, error: &ReplayError) -> ExitCode {
-    eprintln!("{site} seed {seed}: {error}");
+fn report(deployment: &str, seed: u64, error: &ReplayError) -> ExitCode {
+    eprintln!("{deployment} seed {seed}: {error}");
     ExitCode::FAILURE
 }
--- a/crates/decision_replay/src/replay.rs
+++ b/crates/decision_replay/src/replay.rs
@@ -4,12 +4,12 @@
 use std::path::Path;
 
 use crate::adapter::Adapter;
-use crate::sites::Site;
+use crate::deployments::Deployment;
+use crate::simulation::Simulation;
 use crate::totals::Totals;
-use crate::world::World;
 
-/// A replay ends after so many events.
-const EVENTS: u64 = 10_000;
+/// A replay ends after this number of events.
+const MAX_EVENTS: u64 = 10_000;
 
 /// Why a replay stopped.
 #[derive(Debug, thiserror::Error)]
@@ -17,10 +17,10 @@
     /// An adapter failed.
     #[error("an adapter failed: {0}")]
     Adapter(#[from] io::Error),
-    /// The replies to a batch differ.
+    /// The adapters' replies to a batch differ.
     #[error("after {events} events the base says '{base}' and the changed build '{changed}'")]
-    Different {
-        /// Events fed before this batch was answered.
+    DifferentReplies {
+        /// Events sent up to and including this batch.
         events: u64,
         /// The first line of the base that differs.
         base: String,
@@ -29,23 +29,32 @@
     },
 }
 
-/// Plays one seed on one site with both adapters.
-pub fn replay(site: &Site, seed: u64, base: &Path, changed: &Path) -> Result<Totals, ReplayError> {
+/// Replays one seed on one deployment with both adapters.
+pub fn replay(
+    deployment: &Deployment,
+    seed: u64,
+    base: &Path,
+    changed: &Path,
+) -> Result<Totals, ReplayError> {
     let mut base = Adapter::start(base)?;
     let mut changed = Adapter::start(changed)?;
-    let mut world = World::start(site, seed);
+    let mut simulation = Simulation::start(deployment, seed);
     loop {
-        let batch = world.take_batch();
+        let batch = simulation.take_batch();
         let expected = base.exchange(&batch)?;
         let reply = changed.exchange(&batch)?;
         if reply != expected {
-            return Err(first_difference(world.totals.events, &expected, &reply));
+            return Err(first_difference(
+                simulation.totals.events,
+                &expected,
+                &reply,
+            ));
         }
-        world.totals.reply_bytes += reply.len() as u64;
-        if world.totals.events >= EVENTS {
-            return Ok(world.totals);
+        simulation.totals.reply_bytes += reply.len() as u64;
+        if simulation.totals.events >= MAX_EVENTS {
+            return Ok(simulation.totals);
         }
-        world.advance(&reply);
+        simulation.advance(&reply);
     }
 }
 
@@ -54,7 +63,7 @@
     let (base, changed) = pairs
         .find(|(base, changed)| base != changed)
         .unwrap_or(("more", "fewer lines"));
-    ReplayError::Different {
+    ReplayError::DifferentReplies {
         events,
         base: base.into(),
         changed: changed.into(),
--- a/crates/decision_replay/src/lines.rs
+++ b/crates/decision_replay/src/replies.rs
@@ -1,55 +1,53 @@
-//! The adapter's replies as values.
+//! The adapter's replies: one action of a gateway a line.
 
-/// One line of a reply, as far as the replay answers to it.
+/// An action that the simulation carries out. Times are microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// An attempt is to start.
-    Dispatch {
-        /// The gateway.
-        gateway: usize,
+    /// Start an attempt.
+    SendAttempt {
         /// The request.
         request: u32,
         /// The replica's name.
         replica: String,
-        /// The attempt is given up after so many microseconds.
-        give_up: Option<u64>,
+        /// How long the first token may take.
+        timeout: Option<u64>,
     },
-    /// An attempt is to be cancelled.
-    Retract {
+    /// Cancel an attempt.
+    CancelAttempt {
         /// The request.
         request: u32,
         /// The attempt's number.
         attempt: u32,
     },
-    /// The request has its final answer.
-    Final {
+    /// Answer a request finally: it is rejected or has failed.
+    FinalAnswer {
         /// The request.
         request: u32,
     },
-    /// A replica is to be health-checked.
-    Poll {
+    /// Check a replica's health.
+    CheckHealth {
         /// The gateway.
         gateway: usize,
         /// The replica's name.
         replica: String,
     },
-    /// The list's changes are wanted from now on.
-    Watch {
+    /// Send the changes of the endpoint list from now on.
+    WatchEndpoints {
         /// The gateway.
         gateway: usize,
     },
-    /// A timer is to be set.
-    Timer {
+    /// Set a timer.
+    SetTimer {
         /// The gateway.
         gateway: usize,
-        /// When it is due, in microseconds.
-        at: u64,
-        /// Its number.
-        mark: u64,
+        /// When it is due.
+        due_at: u64,
+        /// The id that its event has.
+        timer_id: u64,
     },
 }
 
-/// Reads one line; none for lines that ask for nothing.
+/// Parses one line; `None` for lines without an action.
 pub fn parse(line: &str) -> Option<Reply> {
     let (word, fields) = line.split_once(' ')?;
     let field = |name: &str| {
@@ -62,30 +60,29 @@
     let request = || field("ref")?.parse().ok();
     let replica = || field("replica").map(String::from);
     Some(match word {
-        "DISPATCH" => Reply::Dispatch {
-            gateway: gateway()?,
+        "DISPATCH" => Reply::SendAttempt {
             request: request()?,
             replica: replica()?,
-            give_up: field("give-up-after").and_then(microseconds),
+            timeout: field("give-up-after").and_then(microseconds),
         },
-        "RETRACT" => Reply::Retract {
+        "RETRACT" => Reply::CancelAttempt {
             request: request()?,
             attempt: field("trial")?.parse().ok()?,
         },
-        "REFUSE" | "ABORT" => Reply::Final {
+        "REFUSE" | "ABORT" => Reply::FinalAnswer {
             request: request()?,
         },
-        "POLL" => Reply::Poll {
+        "POLL" => Reply::CheckHealth {
             gateway: gateway()?,
             replica: replica()?,
         },
-        "KEEP_INFORMED" => Reply::Watch {
+        "KEEP_INFORMED" => Reply::WatchEndpoints {
             gateway: gateway()?,
         },
-        "WAKE_ME" => Reply::Timer {
+        "WAKE_ME" => Reply::SetTimer {
             gateway: gateway()?,
-            at: microseconds(field("due-at")?)?,
-            mark: field("mark")?.parse().ok()?,
+            due_at: microseconds(field("due-at")?)?,
+            timer_id: field("mark")?.parse().ok()?,
         },
         _ => return None,
     })
@@ -96,7 +93,7 @@
     Some(seconds.parse::<u64>().ok()? * 1_000_000 + fraction.parse::<u64>().ok()?)
 }
 
-/// Microseconds as the wire has times.
+/// Formats microseconds as the wire has times: in seconds.
 pub fn seconds(microseconds: u64) -> String {
     format!(
         "{}.{:06}",
--- /dev/null
+++ b/crates/decision_replay/src/requests.rs
@@ -0,0 +1,94 @@
+//! The clients' requests, drawn at random.
+
+use rand::RngExt;
+
+use crate::replies::seconds;
+use crate::simulation::{PendingEvent, Simulation};
+
+/// Number of sessions that requests belong to.
+const SESSIONS: u64 = 60;
+/// The mean time between two batches in seconds.
+const MEAN_BATCH_INTERVAL_S: f64 = 0.007;
+
+/// A request in flight.
+#[derive(Debug)]
+pub(crate) struct InFlightRequest {
+    pub(crate) gateway: usize,
+    /// The deadline in microseconds.
+    pub(crate) expires_at: u64,
+    pub(crate) prompt_tokens: u32,
+    pub(crate) output_tokens: u32,
+    /// Attempts so far.
+    pub(crate) attempts: u32,
+    pub(crate) current: Option<CurrentAttempt>,
+    /// Whether the gateway has rejected it.
+    pub(crate) rejected: bool,
+}
+
+/// The attempt of a request that is in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct CurrentAttempt {
+    pub(crate) number: u32,
+    pub(crate) has_first_token: bool,
+}
+
+impl Simulation<'_> {
+    /// Sends the requests of one batch.
+    pub(crate) fn send_requests(&mut self) {
+        let mean = self.deployment.requests_per_second * MEAN_BATCH_INTERVAL_S;
+        let count = self.random.random_range(0.0..2.0 * mean).round() as u32;
+        for _ in 0..count {
+            self.send_request();
+        }
+    }
+
+    fn send_request(&mut self) {
+        self.last_request += 1;
+        let request = self.last_request;
+        let gateway = self.random.random_range(0..self.deployment.gateways);
+        let class = self.random.random_range(0..self.deployment.classes);
+        let expires_at = self.now + self.random.random_range(300_000..4_000_000);
+        let prompt_tokens = self.random.random_range(10..4_000);
+        let output_tokens = self.random.random_range(1..300);
+        let attributes = self.draw_attributes(request, prompt_tokens);
+        self.send(&format!(
+            "INBOUND i={gateway} ref={request} cls={class} valid-until={} prompt-len={prompt_tokens} \
+             output-cap={output_tokens}{attributes}",
+            seconds(expires_at)
+        ));
+        let in_flight = InFlightRequest {
+            gateway,
+            expires_at,
+            prompt_tokens,
+            output_tokens,
+            attempts: 0,
+            current: None,
+            rejected: false,
+        };
+        self.requests.insert(request, in_flight);
+        self.pending
+            .push(expires_at, PendingEvent::RequestExpired { request });
+    }
+
+    /// The fields that only some requests have: tenant, session, shared prefix, retry mark.
+    fn draw_attributes(&mut self, request: u32, prompt_tokens: u32) -> String {
+        let mut fields = String::new();
+        if self.deployment.tenants > 0 {
+            let tenant = self.random.random_range(0..self.deployment.tenants);
+            fields.push_str(&format!(" account={tenant}"));
+        }
+        if self.random.random_bool(0.6) {
+            let session = 77 + self.random.random_range(0..SESSIONS);
+            fields.push_str(&format!(" key={session:016x}"));
+        }
+        if self.random.random_bool(0.3) {
+            let prefix = 5 + request % 4;
+            let shared = prompt_tokens / 3;
+            fields.push_str(&format!(" shared-prefix={prefix:016x} shared-len={shared}"));
+        }
+        if self.random.random_bool(0.1) {
+            fields.push_str(" options=2");
+        }
+        fields
+    }
+}
--- a/crates/decision_replay/src/totals.rs
+++ b/crates/decision_replay/src/totals.rs
@@ -1,22 +1,22 @@
-//! What a replay came to, in counts.
+//! Counts of a replay.
 
 use std::fmt::{self, Display, Formatter};
 
-/// What a replay came to.
+/// Counts of one or more replays.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Totals {
-    /// Events fed.
+    /// Events sent.
     pub events: u64,
-    /// Batches fed.
+    /// Batches sent.
     pub batches: u64,
-    /// Attempts that the adapters ordered.
+    /// Attempts that the gateways started.
     pub attempts: u64,
     /// Bytes of replies that were compared.
     pub reply_bytes: u64,
 }
 
 impl Totals {
-    /// Adds another replay's.
+    /// Adds the counts of another replay.
     pub fn add(&mut self, other: &Totals) {
         self.events += other.events;
         self.batches += other.batches;
--- a/crates/fault_injector/src/clock.rs
+++ b/crates/fault_injector/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, stepped by the state file's offset. The monotonic clock runs on.
+//! The wall clock, shifted by the state file's offset. The monotonic clock is unaffected.
 
 use std::ffi::c_int;
 
@@ -21,19 +21,19 @@
 /// As for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    // SAFETY: the caller's arguments, passed on.
+    // SAFETY: the caller's arguments, forwarded.
     let result = unsafe { CLOCK_GETTIME.get()(clock, time) };
     let offset = clock_offset();
-    let wall = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
-    if result == 0 && wall && offset != 0 {
+    let is_wall_clock = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
+    if result == 0 && is_wall_clock && offset != 0 {
         // SAFETY: the call has just filled it in, so it is valid.
-        step(unsafe { &mut *time }, offset);
+        shift(unsafe { &mut *time }, offset);
         count(Call::ClockGettime);
     }
     result
 }
 
-fn step(time: &mut timespec, offset_ms: i64) {
+fn shift(time: &mut timespec, offset_ms: i64) {
     let nanoseconds = time.tv_nsec + offset_ms % MS_PER_SECOND * NS_PER_MS;
     time.tv_sec += offset_ms / MS_PER_SECOND + nanoseconds.div_euclid(NS_PER_SECOND);
     time.tv_nsec = nanoseconds.rem_euclid(NS_PER_SECOND);
--- a/crates/fault_injector/src/files.rs
+++ b/crates/fault_injector/src/files.rs
@@ -1,4 +1,4 @@
-//! Calls on files and folders.
+//! Calls on files and directories.
 
 use std::ffi::{c_char, c_int};
 
@@ -8,8 +8,8 @@
 use crate::injector::{fail, failure};
 use crate::next::NextFunction;
 
-/// The C library's takes its mode as a variable argument; on the platforms that tests run on
-/// (x86-64 and AArch64, Linux) that is passed as a named one is.
+/// The C library's function takes its mode as a variadic argument. On the platforms of the tests
+/// (Linux on x86-64 and AArch64) that is passed like a fixed one.
 type Open = unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int;
 type Rename = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
 type Sync = unsafe extern "C" fn(c_int) -> c_int;
@@ -31,7 +31,7 @@
 pub unsafe extern "C" fn open(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     match failure(Call::Open) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's arguments, passed on.
+        // SAFETY: the caller's arguments, forwarded.
         None => unsafe { OPEN.get()(path, flags, mode) },
     }
 }
@@ -42,7 +42,7 @@
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     match failure(Call::Open) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's arguments, passed on.
+        // SAFETY: the caller's arguments, forwarded.
         None => unsafe { OPEN64.get()(path, flags, mode) },
     }
 }
@@ -53,7 +53,7 @@
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     match failure(Call::Rename) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's arguments, passed on.
+        // SAFETY: the caller's arguments, forwarded.
         None => unsafe { RENAME.get()(from, to) },
     }
 }
@@ -64,7 +64,7 @@
 pub unsafe extern "C" fn fsync(file: c_int) -> c_int {
     match failure(Call::Fsync) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's arguments, passed on.
+        // SAFETY: the caller's arguments, forwarded.
         None => unsafe { FSYNC.get()(file) },
     }
 }
@@ -75,7 +75,7 @@
 pub unsafe extern "C" fn fdatasync(file: c_int) -> c_int {
     match failure(Call::Fsync) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's arguments, passed on.
+        // SAFETY: the caller's arguments, forwarded.
         None => unsafe { FDATASYNC.get()(file) },
     }
 }
--- a/crates/fault_injector/src/injector.rs
+++ b/crates/fault_injector/src/injector.rs
@@ -1,5 +1,5 @@
-//! Decides whether a call fails. Set up once when the library is loaded; until then, and without a
-//! plan, none does.
+//! Decides whether a call fails. Initialised once when the library is loaded; before that, and
+//! without a plan, no call fails.
 
 use std::ffi::c_int;
 use std::os::fd::AsRawFd;
@@ -12,20 +12,21 @@
 
 static INJECTOR: OnceLock<Injector> = OnceLock::new();
 
-/// Runs when the library has been loaded, ahead of the program's `main` and of its threads.
+/// Runs when the library is loaded, before the program's `main` and its threads.
 #[used]
 #[unsafe(link_section = ".init_array")]
-static AT_LOAD: extern "C" fn() = set_up;
+static AT_LOAD: extern "C" fn() = initialise;
 
 struct Injector {
     rules: Vec<Rule>,
     seed: u64,
+    /// Random numbers drawn so far.
     draws: AtomicU64,
     start: Instant,
     state: &'static [AtomicU64],
 }
 
-extern "C" fn set_up() {
+extern "C" fn initialise() {
     let Some(plan) = std::env::var_os(fault_plan::PLAN_VARIABLE) else {
         return;
     };
@@ -40,7 +41,7 @@
 
 impl Injector {
     fn new(plan: &str) -> Result<Injector, String> {
-        let rules = fault_plan::parse_plan(plan).map_err(|e| e.to_string())?;
+        let rules = fault_plan::parse_plan(plan).map_err(|error| error.to_string())?;
         let seed = std::env::var(fault_plan::SEED_VARIABLE)
             .ok()
             .and_then(|seed| seed.parse().ok());
@@ -70,23 +71,23 @@
         }
         let age = self.start.elapsed();
         rules
-            .find(|rule| rule.applies_at(age) && self.chance() < rule.rate)
+            .find(|rule| rule.applies_at(age) && self.next_random() < rule.rate)
             .map(|rule| rule.fault)
     }
 
-    /// The next number from 0 to below 1.
-    fn chance(&self) -> f64 {
+    /// The next random number, from 0 to below 1.
+    fn next_random(&self) -> f64 {
         let draw = self.draws.fetch_add(1, Ordering::Relaxed);
         (mix(self.seed.wrapping_add(draw)) >> 11) as f64 / (1_u64 << 53) as f64
     }
 }
 
-/// The fault that a call has this time, by the plan. The caller counts it where it takes effect.
+/// Draws the fault of one call by the plan. The caller counts it if it takes effect.
 pub fn draw(call: Call) -> Option<Fault> {
     INJECTOR.get()?.draw(call)
 }
 
-/// The `errno` that a call without a length fails with this time; counted.
+/// Draws the `errno` of one call that transfers no data, and counts it.
 pub fn failure(call: Call) -> Option<c_int> {
     match draw(call)? {
         Fault::Errno(errno) => {
@@ -104,13 +105,13 @@
     }
 }
 
-/// By how many milliseconds the wall clock is off.
+/// The offset of the wall clock in milliseconds.
 pub fn clock_offset() -> i64 {
     let word = |injector: &Injector| injector.state[state::CLOCK_OFFSET].load(Ordering::Relaxed);
     INJECTOR.get().map_or(0, word).cast_signed()
 }
 
-/// Sets `errno`, and returns what a failed call does.
+/// Sets `errno` and returns -1, the result of a failed call.
 pub fn fail(errno: c_int) -> c_int {
     // SAFETY: the address is that of the thread's own `errno`.
     unsafe { *libc::__errno_location() = errno };
@@ -121,13 +122,13 @@
 fn map_state() -> Result<&'static [AtomicU64], String> {
     let path = std::env::var_os(fault_plan::STATE_VARIABLE);
     let path = path.ok_or_else(|| format!("{} is not set", fault_plan::STATE_VARIABLE))?;
-    let problem = |e: std::io::Error| format!("{}: {e}", path.display());
+    let problem = |error: std::io::Error| format!("{}: {error}", path.display());
     let file = std::fs::File::options()
         .read(true)
         .write(true)
         .open(&path)
         .map_err(problem)?;
-    let length = state::WORDS * state::WORD;
+    let length = state::WORD_COUNT * state::WORD_BYTES;
     if file.metadata().map_err(problem)?.len() != length as u64 {
         return Err(format!("{} has not {length} bytes", path.display()));
     }
@@ -148,10 +149,10 @@
     }
     // SAFETY: the mapping has this length, begins at a page, is never unmapped, and is used by
     // atomic words alone.
-    Ok(unsafe { std::slice::from_raw_parts(address.cast(), state::WORDS) })
+    Ok(unsafe { std::slice::from_raw_parts(address.cast(), state::WORD_COUNT) })
 }
 
-/// Mixes a number's bits (SplitMix64).
+/// The output function of the SplitMix64 generator.
 fn mix(number: u64) -> u64 {
     let number = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/fault_injector/src/lib.rs
+++ b/crates/fault_injector/src/lib.rs
@@ -1,8 +1,9 @@
-//! Makes system calls of the program under test fail: loaded by `LD_PRELOAD`, its functions stand
-//! before those of the C library. Which calls fail, how and how often is read from the environment
-//! at the process's start, see `fault_plan`; without that every call goes through.
+//! Makes system calls of the program under test fail. The library is loaded with `LD_PRELOAD`, so
+//! that its functions take precedence over those of the C library. Which calls fail, how and how
+//! often is read from the environment when the process starts (see `fault_plan`); without a plan
+//! every call is forwarded to the C library.
 //!
-//! All `unsafe` of the tests is in this crate. Nothing of it is in the product.
+//! All `unsafe` code of the tests is in this crate, which is no part of the program.
 #![warn(missing_docs)]
 
 mod clock;
--- a/crates/fault_injector/src/multiplexing.rs
+++ b/crates/fault_injector/src/multiplexing.rs
@@ -1,4 +1,4 @@
-//! Waits for descriptors.
+//! Calls that wait for events of descriptors.
 
 use std::ffi::c_int;
 
@@ -25,7 +25,7 @@
 pub unsafe extern "C" fn poll(descriptors: *mut pollfd, count: nfds_t, timeout: c_int) -> c_int {
     match failure(Call::Poll) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's arguments, passed on.
+        // SAFETY: the caller's arguments, forwarded.
         None => unsafe { POLL.get()(descriptors, count, timeout) },
     }
 }
@@ -41,7 +41,7 @@
 ) -> c_int {
     match failure(Call::Poll) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's arguments, passed on.
+        // SAFETY: the caller's arguments, forwarded.
         None => unsafe { PPOLL.get()(descriptors, count, timeout, signals) },
     }
 }
@@ -52,12 +52,12 @@
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     match failure(Call::EpollWait) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's arguments, passed on.
-        None => unsafe { EPOLL_WAIT.get()(epoll, events, most, timeout) },
+        // SAFETY: the caller's arguments, forwarded.
+        None => unsafe { EPOLL_WAIT.get()(epoll, events, max_events, timeout) },
     }
 }
--- a/crates/fault_injector/src/next.rs
+++ b/crates/fault_injector/src/next.rs
@@ -1,12 +1,12 @@
-//! The functions that this library stands before.
+//! The C library's functions that those of this library replace.
 
 use std::ffi::{CStr, c_void};
 use std::marker::PhantomData;
 use std::ptr;
 use std::sync::atomic::{AtomicPtr, Ordering};
 
-/// The next definition of a function behind this library's own. `F` is its type, a function
-/// pointer.
+/// The definition of a function that follows this library's own in the symbols' search order. `F`
+/// is its type, a function pointer.
 pub struct NextFunction<F> {
     name: &'static CStr,
     address: AtomicPtr<c_void>,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Looks the function up at its first use. Two threads that do so at once find the same.
+    /// The function, looked up at its first use. Two threads that do so at once get the same result.
     pub fn get(&self) -> F {
         let mut address = self.address.load(Ordering::Relaxed);
         if address.is_null() {
--- a/crates/fault_injector/src/sockets.rs
+++ b/crates/fault_injector/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Calls that make sockets.
+//! Calls that create and connect sockets.
 
 use std::ffi::c_int;
 
@@ -30,7 +30,7 @@
 ) -> c_int {
     match failure(Call::Accept4) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's arguments, passed on.
+        // SAFETY: the caller's arguments, forwarded.
         None => unsafe { ACCEPT4.get()(listener, address, length, flags) },
     }
 }
@@ -45,7 +45,7 @@
 ) -> c_int {
     match failure(Call::Connect) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's arguments, passed on.
+        // SAFETY: the caller's arguments, forwarded.
         None => unsafe { CONNECT.get()(socket, address, length) },
     }
 }
@@ -56,7 +56,7 @@
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     match failure(Call::Socket) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's arguments, passed on.
+        // SAFETY: the caller's arguments, forwarded.
         None => unsafe { SOCKET.get()(domain, kind, protocol) },
     }
 }
--- a/crates/fault_injector/src/transfers.rs
+++ b/crates/fault_injector/src/transfers.rs
@@ -1,13 +1,13 @@
-//! Reads and writes. Only sockets and regular files are touched, and no socket pair without names:
-//! the runtime wakes itself by `eventfd`, and by such a pair at a signal, over which a failing
-//! `recv` is a panic of its own.
+//! Reads and writes. Only those on sockets and regular files fail, and none on a socket pair
+//! without addresses: the runtime wakes itself by `eventfd`, and at a signal by such a pair, where
+//! it panics if `recv` fails.
 
 use std::ffi::{c_int, c_void};
 
 use fault_plan::{Call, Fault};
 use libc::{iovec, off64_t, size_t, ssize_t};
 
-use crate::descriptor::Kind;
+use crate::descriptor::DescriptorKind;
 use crate::injector::{count, draw, fail};
 use crate::next::NextFunction;
 
@@ -33,20 +33,29 @@
 // SAFETY: the same.
 static WRITEV: NextFunction<Vectored> = unsafe { NextFunction::new(c"writev") };
 
-/// A short transfer on a socket has so many bytes.
-const SHORT: size_t = 1;
+/// Bytes of a short transfer on a socket.
+const SHORT_TRANSFER_BYTES: size_t = 1;
 
-/// How many of these bytes a call transfers, or the `errno` that it fails with.
-fn length_of(call: Call, on: Kind, descriptor: c_int, asked: size_t) -> Result<size_t, c_int> {
+/// How many of the requested bytes a call transfers, or the `errno` that it fails with.
+fn length_of(
+    call: Call,
+    kind: DescriptorKind,
+    descriptor: c_int,
+    requested: size_t,
+) -> Result<size_t, c_int> {
     let Some(fault) = draw(call) else {
-        return Ok(asked);
+        return Ok(requested);
     };
-    if Kind::of(descriptor) != on {
-        return Ok(asked);
+    if DescriptorKind::of(descriptor) != kind {
+        return Ok(requested);
     }
-    let short = if on == Kind::File { asked / 2 } else { SHORT };
+    let short = if kind == DescriptorKind::File {
+        requested / 2
+    } else {
+        SHORT_TRANSFER_BYTES
+    };
     match fault {
-        Fault::Short if short == 0 || short >= asked => Ok(asked),
+        Fault::Short if short == 0 || short >= requested => Ok(requested),
         Fault::Short => {
             count(call);
             Ok(short)
@@ -58,15 +67,17 @@
     }
 }
 
-/// The same for calls that have a rule for sockets and one for files.
+/// Like [`length_of`], for calls that have a rule for sockets and another for files.
 fn length_on_either(
     socket: Call,
     file: Call,
     descriptor: c_int,
-    asked: size_t,
+    requested: size_t,
 ) -> Result<size_t, c_int> {
-    match length_of(socket, Kind::Socket, descriptor, asked)? {
-        length if length == asked => length_of(file, Kind::File, descriptor, asked),
+    match length_of(socket, DescriptorKind::Socket, descriptor, requested)? {
+        length if length == requested => {
+            length_of(file, DescriptorKind::File, descriptor, requested)
+        }
         length => Ok(length),
     }
 }
@@ -89,9 +100,9 @@
     } else {
         Call::Peek
     };
-    match length_of(call, Kind::Socket, socket, length) {
+    match length_of(call, DescriptorKind::Socket, socket, length) {
         Err(errno) => failed(errno),
-        // SAFETY: the caller's arguments, passed on with a length that is no greater.
+        // SAFETY: the caller's arguments, forwarded with a length that is no greater.
         Ok(length) => unsafe { RECV.get()(socket, buffer, length, flags) },
     }
 }
@@ -105,9 +116,9 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    match length_of(Call::Send, Kind::Socket, socket, length) {
+    match length_of(Call::Send, DescriptorKind::Socket, socket, length) {
         Err(errno) => failed(errno),
-        // SAFETY: the caller's arguments, passed on with a length that is no greater.
+        // SAFETY: the caller's arguments, forwarded with a length that is no greater.
         Ok(length) => unsafe { SEND.get()(socket, buffer, length, flags) },
     }
 }
@@ -118,7 +129,7 @@
 pub unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
     match length_on_either(Call::Read, Call::FileRead, descriptor, length) {
         Err(errno) => failed(errno),
-        // SAFETY: the caller's arguments, passed on with a length that is no greater.
+        // SAFETY: the caller's arguments, forwarded with a length that is no greater.
         Ok(length) => unsafe { READ.get()(descriptor, buffer, length) },
     }
 }
@@ -133,7 +144,7 @@
 ) -> ssize_t {
     match length_on_either(Call::Write, Call::FileWrite, descriptor, length) {
         Err(errno) => failed(errno),
-        // SAFETY: the caller's arguments, passed on with a length that is no greater.
+        // SAFETY: the caller's arguments, forwarded with a length that is no greater.
         Ok(length) => unsafe { WRITE.get()(descriptor, buffer, length) },
     }
 }
@@ -147,9 +158,9 @@
     length: size_t,
     offset: off64_t,
 ) -> ssize_t {
-    match length_of(Call::FileWrite, Kind::File, descriptor, length) {
+    match length_of(Call::FileWrite, DescriptorKind::File, descriptor, length) {
         Err(errno) => failed(errno),
-        // SAFETY: the caller's arguments, passed on with a length that is no greater.
+        // SAFETY: the caller's arguments, forwarded with a length that is no greater.
         Ok(length) => unsafe { PWRITE64.get()(descriptor, buffer, length, offset) },
     }
 }
@@ -158,7 +169,7 @@
 /// As for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn readv(socket: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    // SAFETY: the caller's arguments, passed on.
+    // SAFETY: the caller's arguments, forwarded.
     unsafe { vectored(Call::Readv, &READV, socket, parts, count) }
 }
 
@@ -166,7 +177,7 @@
 /// As for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn writev(socket: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    // SAFETY: the caller's arguments, passed on.
+    // SAFETY: the caller's arguments, forwarded.
     unsafe { vectored(Call::Writev, &WRITEV, socket, parts, count) }
 }
 
@@ -186,11 +197,14 @@
         }
         _ => &[],
     };
-    let asked = all.iter().map(|part| part.iov_len).sum();
+    let requested = all.iter().map(|part| part.iov_len).sum();
     let first = all.iter().find(|part| part.iov_len > 0);
-    match (length_of(call, Kind::Socket, socket, asked), first) {
+    match (
+        length_of(call, DescriptorKind::Socket, socket, requested),
+        first,
+    ) {
         (Err(errno), _) => failed(errno),
-        (Ok(length), Some(first)) if length < asked => {
+        (Ok(length), Some(first)) if length < requested => {
             let short = iovec {
                 iov_base: first.iov_base,
                 iov_len: length.min(first.iov_len),
@@ -198,7 +212,7 @@
             // SAFETY: one part, the beginning of the caller's own.
             unsafe { next.get()(socket, &raw const short, 1) }
         }
-        // SAFETY: the caller's arguments, passed on.
+        // SAFETY: the caller's arguments, forwarded.
         _ => unsafe { next.get()(socket, parts, count) },
     }
 }
--- a/crates/fault_plan/src/call.rs
+++ b/crates/fault_plan/src/call.rs
@@ -1,6 +1,6 @@
-//! The calls that can be made to fail.
+//! The system calls that can be made to fail.
 
-/// A call that can be made to fail, as rules and counters know it.
+/// A system call that can be made to fail: one kind of rule, and one counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Call {
     /// `accept4`.
@@ -43,7 +43,7 @@
 }
 
 impl Call {
-    /// All of them, in the order of their counters.
+    /// All calls, in the order of their counters.
     pub const ALL: [Call; 18] = [
         Call::Accept4,
         Call::Connect,
@@ -94,7 +94,7 @@
         Call::ALL.into_iter().find(|call| call.name() == name)
     }
 
-    /// Its place in [`Call::ALL`].
+    /// Its index in [`Call::ALL`].
     pub fn index(self) -> usize {
         self as usize
     }
--- a/crates/fault_plan/src/rule.rs
+++ b/crates/fault_plan/src/rule.rs
@@ -1,4 +1,4 @@
-//! Rules: which call fails how, how often and when.
+//! Rules: which call fails, how, how often and when.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,39 +6,41 @@
 
 use crate::Call;
 
-/// Parts a rule's text has.
-const FIELDS: usize = 5;
-/// Separates the rules of a plan.
-const SEPARATOR: &str = ";";
+/// Number of fields in a rule's text.
+const FIELD_COUNT: usize = 5;
+/// What separates the rules of a plan.
+const RULE_SEPARATOR: &str = ";";
+/// The text of [`Fault::Short`].
 const SHORT: &str = "short";
-const NEVER: &str = "-";
+/// The text of a rule's end where it has none.
+const NO_END: &str = "-";
 
 /// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It returns -1 with this `errno`, and does nothing.
+    /// It returns -1 with this `errno` and has no effect.
     Errno(i32),
-    /// It transfers one byte on a socket, or half of what was asked on a file.
+    /// It transfers one byte on a socket, or half of the requested bytes on a file.
     Short,
 }
 
-/// One call's fault, its rate, and the span in which it happens.
+/// The fault of a call, its rate, and the time in which it occurs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
     /// The call.
     pub call: Call,
-    /// What happens.
+    /// How it fails.
     pub fault: Fault,
-    /// In which share of the calls, from 0 to 1.
+    /// The probability that a call fails, from 0 to 1.
     pub rate: f64,
-    /// From so long after the process's start.
+    /// Start of the rule's time, since the start of the process.
     pub from: Duration,
-    /// Until so long after the process's start; none means to its end.
+    /// End of the rule's time, since the start of the process; without one it applies to the end.
     pub until: Option<Duration>,
 }
 
 impl Rule {
-    /// A rule that applies while the process runs.
+    /// A rule that applies as long as the process runs.
     pub fn new(call: Call, fault: Fault, rate: f64) -> Rule {
         Rule {
             call,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Whether it applies so long after the process's start.
+    /// Whether the rule applies at this time since the start of the process.
     pub fn applies_at(&self, age: Duration) -> bool {
         age >= self.from && self.until.is_none_or(|until| age < until)
     }
@@ -63,7 +65,7 @@
         };
         let until = self
             .until
-            .map_or_else(|| NEVER.to_string(), |until| until.as_millis().to_string());
+            .map_or_else(|| NO_END.to_string(), |until| until.as_millis().to_string());
         write!(
             out,
             "{} {fault} {} {} {until}",
@@ -74,39 +76,30 @@
     }
 }
 
-/// A text that is no rule.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// A text that is not a rule.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0:?} is no 'CALL ERRNO|short RATE FROM_MS UNTIL_MS|-'")]
 pub struct PlanError(String);
 
-impl fmt::Display for PlanError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            out,
-            "{:?} is no 'CALL ERRNO|short RATE FROM_MS UNTIL_MS|-'",
-            self.0
-        )
-    }
-}
-
-impl std::error::Error for PlanError {}
-
 impl FromStr for Rule {
     type Err = PlanError;
 
     fn from_str(text: &str) -> Result<Rule, PlanError> {
         let fields: Vec<&str> = text.split_whitespace().collect();
-        let rule = <[&str; FIELDS]>::try_from(fields).ok().and_then(parse_rule);
+        let rule = <[&str; FIELD_COUNT]>::try_from(fields)
+            .ok()
+            .and_then(parse_rule);
         rule.ok_or_else(|| PlanError(text.to_string()))
     }
 }
 
-fn parse_rule([call, fault, rate, from, until]: [&str; FIELDS]) -> Option<Rule> {
+fn parse_rule([call, fault, rate, from, until]: [&str; FIELD_COUNT]) -> Option<Rule> {
     let milliseconds = |text: &str| text.parse().ok().map(Duration::from_millis);
     let fault = match fault {
         SHORT => Fault::Short,
         errno => Fault::Errno(errno.parse().ok()?),
     };
-    let until = if until == NEVER {
+    let until = if until == NO_END {
         None
     } else {
         Some(milliseconds(until)?)
@@ -124,16 +117,16 @@
     })
 }
 
-/// The rules of a plan's text.
+/// Parses the rules of a plan.
 pub fn parse_plan(text: &str) -> Result<Vec<Rule>, PlanError> {
-    text.split(SEPARATOR)
+    text.split(RULE_SEPARATOR)
         .filter(|rule| !rule.trim().is_empty())
         .map(str::parse)
         .collect()
 }
 
-/// A plan's text.
+/// Formats a plan so that [`parse_plan`] reads it.
 pub fn write_plan(rules: &[Rule]) -> String {
     let rules: Vec<String> = rules.iter().map(Rule::to_string).collect();
-    rules.join(SEPARATOR)
+    rules.join(RULE_SEPARATOR)
 }
--- a/tests/same_decisions.sh
+++ b/tests/same_decisions.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
 # Shows that the decision module decides as it did at BASE: builds the simulator adapter of BASE and of this tree, feeds both
 # the same seeded events (crates/decision_replay) and compares their replies byte for byte.
-# usage: tests/same_decisions.sh BASE [SEEDS_PER_SITE]
+# usage: tests/same_decisions.sh BASE [SEEDS_PER_DEPLOYMENT]
 set -euo pipefail
 cd "$(dirname "$0")/.."
-base=$(git rev-parse --verify --quiet "${1:?usage: tests/same_decisions.sh BASE [SEEDS_PER_SITE]}^{commit}")
+base=$(git rev-parse --verify --quiet "${1:?usage: tests/same_decisions.sh BASE [SEEDS_PER_DEPLOYMENT]}^{commit}")
 folder="$PWD/target/same_decisions"
 checkout="$folder/checkout"
 
