--- a/crates/decision_replay/src/deployments.rs
+++ b/crates/decision_replay/src/deployments.rs
@@ -83,6 +83,17 @@
             live_weights: false,
             settings: OVERLOADED,
         },
+        Deployment {
+            name: "errors-in-reports",
+            gateways: 6,
+            replicas: 12,
+            requests_per_second: 200.0,
+            classes: 1,
+            tenants: 0,
+            reports_in_answers: false,
+            live_weights: false,
+            settings: ERRORS_IN_REPORTS,
+        },
     ]
 }
 
@@ -122,6 +133,16 @@
 "prices": {"cross-zone": 0.05, "handshake": 0.1, "waste": 0.02, "probe": 0},
 "guarantees": {"drain-grace": 0.5, "fall": 1, "fall-multiple": 4, "must-ask-in": 3, "start-capacity": 0.05, "warm-after": 30}}"#;
 
+/// Load reports with errors, and with a value that is named twice: the first one counts.
+const ERRORS_IN_REPORTS: &str = r#"{
+"period": 0.002, "discovery": "push",
+"classes": [
+ {"objective": 0.6, "deadline": 2.5, "effect": "read_like", "streaming": true, "late-worth": 0.3}],
+"limits": {"max-attempts": 3, "cancel": true, "probes": true, "retry-after": true, "max-retry-after": 1, "conn-idle": 3},
+"prices": {"cross-zone": 0.05, "handshake": 0.1, "waste": 0.02, "probe": 0.01},
+"telemetry": {"how": "probes", "names": ["errors_per_s", "utilization", "utilization", "throughput"]},
+"guarantees": {"drain-grace": 0.5, "fall": 1, "fall-multiple": 4, "start-capacity": 0.05, "warm-after": 30}}"#;
+
 const OVERLOADED: &str = r#"{
 "period": 0.002, "discovery": "push", "over-share-worth": 0.1,
 "classes": [
--- a/crates/decision_replay/src/fleet.rs
+++ b/crates/decision_replay/src/fleet.rs
@@ -17,6 +17,8 @@
 const WEIGHTS: [f64; 3] = [1.0, 2.0, 0.5];
 /// Outcomes of attempts that fail.
 const FAILURES: [u32; 4] = [REJECTED, CONNECTION_RESET, ERROR, CONNECT_FAILED];
+/// Requests that a replica can serve at once, for its load report.
+const SLOTS: f64 = 32.0;
 /// Time to the first token of an empty prompt, in microseconds.
 const FIRST_TOKEN_US: f64 = 25_000.0;
 /// Time for each prompt token that is not cached, in microseconds.
@@ -199,9 +201,16 @@
         }
     }
 
-    /// Its load report: the two values that the settings of every deployment name at least.
+    /// Its load report. The settings of a deployment say what the values stand for; values behind
+    /// the last one named there are ignored.
     pub fn load_report(&self) -> String {
-        format!("{},{}", self.in_flight, self.in_flight / 2)
+        let utilization = f64::from(self.in_flight) / SLOTS;
+        let served_per_second = 40.0 * self.weight / self.slowness;
+        format!(
+            "{},{},{utilization:.4},{served_per_second:.3}",
+            self.in_flight,
+            self.in_flight / 2
+        )
     }
 }
 
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -146,6 +146,9 @@
             if is_path(&span) && !path_exists(&span) {
                 unknown.push(format!("{name}: no file {span}"));
             }
+            if module_path(&span).is_some_and(|module| !module_exists(&module)) {
+                unknown.push(format!("{name}: no module {span}"));
+            }
             let missing = names(&span)
                 .into_iter()
                 .filter(|part| !words.contains(*part));
