--- /dev/null
+++ b/crates/simulator_adapter/src/reply/tests.rs
@@ -0,0 +1,74 @@
+//! The line of each action.
+
+use stilespan::interface::{ReplicaId, RequestId, Timestamp};
+
+use super::*;
+use crate::message::MessageReader;
+
+#[test]
+fn each_action_has_its_line() {
+    let mut reader = MessageReader::default();
+    reader.parse("CLOCK now=8.41225 seq=1").unwrap();
+    reader.parse("DIRECTORY sheet=0 members-list=1").unwrap();
+    reader
+        .parse("REPLICA lifecycle=in_service replica=replica_a")
+        .unwrap();
+    let (request, replica) = (RequestId(5), ReplicaId::from_name("replica_a"));
+    let actions = [
+        (
+            Action::StartAttempt {
+                request,
+                replica,
+                timeout: Some(Span::from_millis(80)),
+            },
+            "DISPATCH i=3 ref=5 replica=replica_a give-up-after=0.080000",
+        ),
+        (
+            Action::StartAttempt {
+                request,
+                replica,
+                timeout: None,
+            },
+            "DISPATCH i=3 ref=5 replica=replica_a",
+        ),
+        (
+            Action::CancelAttempt {
+                request,
+                attempt: 1,
+            },
+            "RETRACT i=3 ref=5 trial=1",
+        ),
+        (
+            Action::Reject {
+                request,
+                retry_after: Some(Span::from_millis(250)),
+            },
+            "REFUSE i=3 ref=5 retry-in=0.250000",
+        ),
+        (
+            Action::Reject {
+                request,
+                retry_after: None,
+            },
+            "REFUSE i=3 ref=5",
+        ),
+        (Action::Fail { request }, "ABORT i=3 ref=5"),
+        (
+            Action::CheckHealth { replica },
+            "POLL i=3 replica=replica_a",
+        ),
+        (Action::WatchEndpoints, "KEEP_INFORMED i=3 on=1"),
+        (
+            Action::SetTimer {
+                at: Timestamp::from_micros(8_912_250),
+                timer_id: 77,
+            },
+            "WAKE_ME i=3 due-at=8.912250 mark=77",
+        ),
+    ];
+    for (action, line) in actions {
+        let mut out = String::new();
+        write_action(&mut out, reader.replica_names(), 3, &action);
+        assert_eq!(out, format!("{line}\n"));
+    }
+}
--- a/tests/simhost.rs
+++ b/crates/simulator_adapter/tests/program.rs
@@ -1,12 +1,12 @@
-//! The built binary, driven over pipes.
+//! The built program, driven over pipes.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
 const SETTINGS: &str = r#"{"n-instances": 2, "period": 0.002, "discovery": "push", "classes": [{"objective": 1.0, "deadline": 5.0, "effect": "read_like", "streaming": true}], "guarantees": {"drain-grace": 1, "fall": 1, "fall-multiple": 4, "start-capacity": 0.1, "warm-after": 20}, "limits": {"max-attempts": 3}}"#;
 
-fn host(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_stilespan-simhost"))
+fn run_adapter(input: &str) -> Output {
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -15,7 +15,7 @@
     let mut stdin = child.stdin.take().unwrap();
     let input = input.to_string();
     let writer = std::thread::spawn(move || {
-        // the host may stop reading at a malformed line
+        // the adapter may stop reading at a malformed line
         let _ = stdin.write_all(input.as_bytes());
     });
     let output = child.wait_with_output().unwrap();
@@ -27,8 +27,8 @@
     format!("INIT i={i} init-seed={} config={SETTINGS}\n", 40 + i)
 }
 
-/// A day of batches for the given instances of six.
-fn day(instances: &[usize]) -> String {
+/// 200 batches for the given instances of six.
+fn batches(instances: &[usize]) -> String {
     let mut text = String::from("CLOCK now=5 seq=1\n");
     for &i in instances {
         text.push_str(&start(i));
@@ -76,12 +76,12 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions_in_one_process_and_in_three() {
-    let one = host(&day(&[0, 1, 2, 3, 4, 5]));
+fn process_count_does_not_change_actions() {
+    let one = run_adapter(&batches(&[0, 1, 2, 3, 4, 5]));
     assert!(one.status.success());
     let mut split = Vec::new();
     for part in [[0, 3], [1, 4], [5, 2]] {
-        split.extend(actions(&host(&day(&part)).stdout));
+        split.extend(actions(&run_adapter(&batches(&part)).stdout));
     }
     split.sort();
     assert!(split.len() > 1_000);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_instance_can_be_killed_and_started_again_within_one_batch() {
+fn instance_restarts_within_a_batch() {
     let list = "DIRECTORY sheet=0 members-list=1\nREPLICA lifecycle=in_service replica=replica_a\n";
     let persisted = "MEMBERSHIP i=0 how=Persisted generation=1 sheet=0\n";
     let ask = |id| format!("INBOUND i=0 ref={id} cls=0 valid-until=9 prompt-len=10 output-cap=9\n");
@@ -101,7 +101,7 @@
         ask(2),
         ask(3),
     );
-    let out = host(&input);
+    let out = run_adapter(&input);
     let text = String::from_utf8(out.stdout).unwrap();
     assert!(out.status.success());
     assert!(
@@ -113,15 +113,15 @@
 }
 
 #[test]
-fn end_of_input_is_a_clean_exit() {
+fn end_of_input_exits_cleanly() {
     for input in ["", "CLOCK now=1 seq=1\nEOF_BATCH\n"] {
-        let out = host(input);
+        let out = run_adapter(input);
         assert!(out.status.success() && out.stderr.is_empty());
     }
 }
 
 #[test]
-fn bad_input_gets_one_message_with_its_line_and_no_reply() {
+fn bad_input_names_its_line() {
     let start = start(0);
     for (input, line) in [
         ("NONSENSE\n", 1),
@@ -137,7 +137,7 @@
             4,
         ),
     ] {
-        let out = host(input);
+        let out = run_adapter(input);
         let message = String::from_utf8(out.stderr).unwrap();
         assert!(!out.status.success(), "{input}");
         assert_eq!(message.lines().count(), 1, "{message}");
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,19 +1,20 @@
-//! The configuration of a router: the platform's environment and its JSON file. Owns the values of
-//! the router itself; the settings of the decision module are parsed by `wire`, the files of the
-//! batch front and of the edge by those.
+//! The configuration of a router: the platform's environment and its JSON file, with the settings
+//! of the decision module. The files of the batch front and of the edge are parsed by those.
 
 mod error;
 mod raw;
+mod raw_settings;
+mod settings;
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use crate::interface::{Settings, stable_hash};
 use crate::net::discovery::endpoint_list::EndpointList;
-use crate::wire::parse_settings;
 
 pub use error::ConfigError;
 use raw::{RawConfig, RouterSettings};
+pub use settings::{SettingsError, parse_settings};
 
 /// What a router without the platform's configuration uses: the two classes of the batch and edge
 /// service, for model servers that come from an inventory.
@@ -97,7 +98,7 @@
         let raw: RawConfig = serde_json::from_str(text)
             .map_err(|error| ConfigError::malformed(path, error.to_string()))?;
         let settings = parse_settings(&raw.settings.to_string())
-            .map_err(|problem| ConfigError::malformed(path, problem))?;
+            .map_err(|error| ConfigError::malformed(path, error.to_string()))?;
         let router_settings = RouterSettings(&raw.settings);
         Ok(Config {
             name: raw.name,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -33,7 +33,6 @@
 pub mod routing;
 pub mod spend;
 pub mod storage;
-pub mod wire;
 
 pub use policy::Balancer;
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -68,15 +68,20 @@
 
 #[test]
 fn lines_stay_within_110_characters() {
-    let others = ["src/wire.rs", "src/lib.rs", "src/bin/stilespan-simhost.rs"];
+    let others = [
+        "src/lib.rs",
+        "src/config/settings.rs",
+        "src/config/raw_settings.rs",
+    ];
     let others = others.map(|path| (path.to_string(), read(path)));
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let (interface, _) = rust_files(&root.join("src/interface"));
-    let interface = interface.into_iter().map(|path| {
+    let (adapter, _) = rust_files(&root.join("crates/simulator_adapter/src"));
+    let folders = interface.into_iter().chain(adapter).map(|path| {
         let text = read(&path);
         (path, text)
     });
-    for (path, text) in policy().into_iter().chain(others).chain(interface) {
+    for (path, text) in policy().into_iter().chain(others).chain(folders) {
         for (n, line) in text.lines().enumerate() {
             assert!(line.chars().count() <= 110, "{path}:{}", n + 1);
         }
