--- /dev/null
+++ b/src/inventory/host.rs
@@ -0,0 +1,171 @@
+//! An endpoint from the variables of one host: its address, zone, state, size and models.
+
+use super::error::{HostError, LineError};
+use super::variables::{Variable, Variables};
+use super::{InventoryError, MAX_MODELS};
+use crate::core::Endpoint;
+use crate::interface::{Entry, State, Time};
+use crate::net::discovery::endpoint_list::zone_number;
+use crate::wire::replica_id;
+
+/// The port of a host whose address and variables give none.
+const DEFAULT_PORT: &str = "9000";
+/// The relative capacity of a host that gives none.
+const DEFAULT_SIZE: f64 = 1.0;
+/// The largest relative capacity.
+const MAX_SIZE: f64 = 1e6;
+/// The largest number of a cell.
+const MAX_CELL: f64 = 1e6;
+/// The latest start time, in milliseconds since 1970 (the year 5138).
+const MAX_START_MS: f64 = 1e14;
+const MICROS_PER_MILLI: u64 = 1000;
+
+/// One host of an inventory.
+pub(super) struct Host<'a> {
+    /// Its name, by which routers identify the model server.
+    pub(super) name: &'a str,
+    /// The line that lists it, from 1.
+    pub(super) line: usize,
+    /// Its own variables and the inherited ones.
+    pub(super) variables: &'a Variables,
+}
+
+impl Host<'_> {
+    /// The endpoint, with its zone numbered by the position in `localities`.
+    pub(super) fn to_endpoint(&self, localities: &[String]) -> Result<Endpoint, InventoryError> {
+        let address = self.address()?;
+        let state = self.state()?;
+        let zone = self.zone(localities)?;
+        let cell = self.number(&["cell"], MAX_CELL)?.unwrap_or(0.0) as u32;
+        let start_ms = self.number(&["up_since_ms"], MAX_START_MS)?;
+        let size = self.number(&["size", "weight"], MAX_SIZE)?;
+        let entry = Entry {
+            replica: replica_id(self.name),
+            zone,
+            cell,
+            state,
+            started: Time(start_ms.unwrap_or(0.0) as u64 * MICROS_PER_MILLI),
+            rating: size.unwrap_or(DEFAULT_SIZE),
+            ..Entry::default()
+        };
+        Ok(Endpoint {
+            name: self.name.to_string(),
+            address,
+            entry,
+            models: self.models()?,
+        })
+    }
+
+    /// The address with its port: of the address itself, else of a variable, else the default.
+    fn address(&self) -> Result<String, InventoryError> {
+        let variable = self.variables.get(&["address", "ansible_host"]);
+        let line = variable.map_or(self.line, |variable| variable.line);
+        let address = variable.map_or(self.name, |variable| &variable.text);
+        let (host, port) = match split_port(address) {
+            Some((host, port)) => (host, port),
+            None => (address, self.port()),
+        };
+        if !is_host(host) {
+            return Err(self.error(HostError::InvalidAddress(address.to_string()), line));
+        }
+        if !is_port(port) {
+            return Err(self.error(HostError::InvalidPort(port.to_string()), line));
+        }
+        if host.contains(':') && !host.starts_with('[') {
+            return Ok(format!("[{host}]:{port}"));
+        }
+        Ok(format!("{host}:{port}"))
+    }
+
+    fn port(&self) -> &str {
+        self.variables
+            .get(&["port", "ansible_port"])
+            .map_or(DEFAULT_PORT, |variable| &variable.text)
+    }
+
+    fn state(&self) -> Result<State, InventoryError> {
+        let Some(variable) = self.variables.get(&["state", "phase"]) else {
+            return Ok(State::InService);
+        };
+        let state = variable.text.to_ascii_lowercase();
+        match state.as_str() {
+            "serving" | "in_service" | "present" | "up" => Ok(State::InService),
+            "draining" | "terminating" | "drain" => Ok(State::Terminating),
+            _ => Err(self.error(HostError::UnknownState(state), variable.line)),
+        }
+    }
+
+    fn zone(&self, localities: &[String]) -> Result<u32, InventoryError> {
+        let Some(Variable { text, line }) = self.variables.get(&["zone", "locality"]) else {
+            return Ok(0);
+        };
+        match zone_number(text, localities) {
+            u32::MAX => Err(self.error(HostError::UnknownZone(text.clone()), *line)),
+            zone => Ok(zone),
+        }
+    }
+
+    /// A numeric variable from 0 to `max`, under the first of these names that is set. Errors call
+    /// it by the first name.
+    fn number(&self, names: &[&'static str], max: f64) -> Result<Option<f64>, InventoryError> {
+        let Some(Variable { text, line }) = self.variables.get(names) else {
+            return Ok(None);
+        };
+        match text.parse::<f64>() {
+            Ok(number) if (0.0..=max).contains(&number) => Ok(Some(number)),
+            _ => {
+                let error = HostError::InvalidNumber {
+                    variable: names[0],
+                    text: text.clone(),
+                    max,
+                };
+                Err(self.error(error, *line))
+            }
+        }
+    }
+
+    /// The models, separated by spaces, commas or semicolons; `None` where the host lists none, and
+    /// so serves any.
+    fn models(&self) -> Result<Option<Vec<String>>, InventoryError> {
+        let Some(Variable { text, line }) = self.variables.get(&["models"]) else {
+            return Ok(None);
+        };
+        let names = text
+            .split(|separator: char| separator.is_whitespace() || matches!(separator, ',' | ';'))
+            .filter(|name| !name.is_empty());
+        let mut models: Vec<String> = Vec::new();
+        for name in names {
+            if models.iter().any(|model| model == name) {
+                return Err(self.error(HostError::DuplicateModel(name.to_string()), *line));
+            }
+            if models.len() >= MAX_MODELS {
+                return Err(self.error(HostError::TooManyModels, *line));
+            }
+            models.push(name.to_string());
+        }
+        Ok(Some(models))
+    }
+
+    fn error(&self, error: HostError, line: usize) -> InventoryError {
+        let host = self.name.to_string();
+        LineError::Host { host, error }.at(line)
+    }
+}
+
+/// The host and the port of an address that ends in a port. An IPv6 address has one only behind
+/// brackets.
+fn split_port(address: &str) -> Option<(&str, &str)> {
+    address
+        .rsplit_once(':')
+        .filter(|(host, _)| !host.contains(':') || host.ends_with(']'))
+}
+
+fn is_host(host: &str) -> bool {
+    let is_forbidden =
+        |character: char| character.is_whitespace() || character.is_control() || character == '/';
+    !host.is_empty() && !host.contains(is_forbidden)
+}
+
+fn is_port(text: &str) -> bool {
+    text.parse::<u16>().is_ok_and(|port| port != 0)
+}
--- /dev/null
+++ b/src/inventory/host_list.rs
@@ -0,0 +1,28 @@
+//! The hosts of an inventory as they are collected: names differ, and their number is bounded.
+
+use super::{LineError, MAX_HOSTS};
+use crate::core::Endpoint;
+
+/// The hosts read so far.
+#[derive(Default)]
+pub(super) struct HostList(Vec<Endpoint>);
+
+impl HostList {
+    /// Adds a host, unless one of its name is there or the list is full.
+    pub(super) fn add(&mut self, host: Endpoint) -> Result<(), LineError> {
+        let replica = host.entry.replica;
+        if self.0.iter().any(|other| other.entry.replica == replica) {
+            return Err(LineError::DuplicateHost(host.name));
+        }
+        if self.0.len() >= MAX_HOSTS {
+            return Err(LineError::TooManyHosts);
+        }
+        self.0.push(host);
+        Ok(())
+    }
+
+    /// All hosts, in the order in which they were added.
+    pub(super) fn into_endpoints(self) -> Vec<Endpoint> {
+        self.0
+    }
+}
--- /dev/null
+++ b/src/inventory/variables.rs
@@ -0,0 +1,38 @@
+//! Variables of hosts and groups: text by name, with the line of each for error messages.
+
+use std::collections::BTreeMap;
+
+/// The value of a variable.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct Variable {
+    /// The value as text; empty where the variable is set to nothing.
+    pub(super) text: String,
+    /// The line that sets it, from 1.
+    pub(super) line: usize,
+}
+
+/// Variables by name.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Variables(BTreeMap<String, Variable>);
+
+impl Variables {
+    /// The variable under the first of these names that is set. One that is set to nothing counts
+    /// as absent, and hides those after it.
+    pub(super) fn get(&self, names: &[&str]) -> Option<&Variable> {
+        names
+            .iter()
+            .find_map(|name| self.0.get(*name))
+            .filter(|variable| !variable.text.is_empty())
+    }
+
+    /// Adds variables, which override those of the same names.
+    pub(super) fn override_with(&mut self, others: &Variables) {
+        self.0.extend(others.0.clone());
+    }
+}
+
+impl FromIterator<(String, Variable)> for Variables {
+    fn from_iter<I: IntoIterator<Item = (String, Variable)>>(variables: I) -> Variables {
+        Variables(variables.into_iter().collect())
+    }
+}
--- a/src/router/open/endpoints.rs
+++ b/src/router/open/endpoints.rs
@@ -25,7 +25,7 @@
 
 /// Starts to watch an inventory file.
 pub(super) fn start_inventory(path: PathBuf, config: &Config, channels: EndpointChannels) {
-    tokio::spawn(inventory::run(
+    tokio::spawn(inventory::watcher::run(
         path,
         config.localities.clone(),
         channels.orders,
