--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -6,43 +6,18 @@
 use std::time::Instant;
 
 use bytes::{Bytes, BytesMut};
-use tokio::sync::mpsc;
 use tracing::{debug, trace};
 
+use super::attempt_end::{Completion, Interruption, LastChunk};
 use super::response_stream::ResponseStream;
 use super::{Connection, Upstream};
-use crate::core::{
-    Attempt, AttemptGate, AttemptId, AttemptResult, Chunk, Message, Payload, StartDecision,
-};
+use crate::core::{Attempt, AttemptGate, AttemptId, Message, Payload, StartDecision};
 use crate::interface::Outcome;
 use crate::net::http::{self, Framing, Head};
 
 /// Capacity reserved for the headers that are added to a request, in bytes.
 const ADDED_HEADERS_BYTES: usize = 96;
 
-/// The end of an attempt as it is reported to the core.
-pub(super) struct Completion {
-    pub(super) result: AttemptResult,
-    /// Sent to the client after the core was notified.
-    pub(super) last_chunk: Option<LastChunk>,
-}
-
-/// The last chunk of a stream, and the channel of the stream.
-pub(super) struct LastChunk {
-    pub(super) chunks: mpsc::Sender<Chunk>,
-    pub(super) chunk: Chunk,
-}
-
-/// Why an attempt ended before its stream did.
-pub(super) enum Interruption {
-    /// With this outcome; the client has got nothing of it, or wants no more.
-    Failed(Outcome),
-    /// The client has disconnected, and the core knows of it.
-    ClientDisconnected,
-    /// There is no core to report to.
-    CoreStopped,
-}
-
 impl Upstream {
     /// Makes a call attempt and reports its end to the core. Cancelling it closes its connection.
     pub(super) async fn run_attempt(self: Arc<Self>, attempt: Attempt) {
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -6,6 +6,7 @@
 //! for each attempt that was ordered.
 
 mod attempt;
+mod attempt_end;
 mod dial;
 mod health_check;
 mod load_report;
--- a/src/net/upstream/response_stream.rs
+++ b/src/net/upstream/response_stream.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout_at;
 use tracing::debug;
 
-use super::attempt::{Completion, Interruption, LastChunk};
+use super::attempt_end::{Completion, Interruption, LastChunk};
 use super::stream_tail::StreamTail;
 use super::{Connection, Upstream};
 use crate::core::{AttemptId, AttemptResult, Chunk, MAX_BUFFERED_CHUNKS, Message};
