--- a/src/router/open/mod.rs
+++ b/src/router/open/mod.rs
@@ -7,7 +7,8 @@
 //! 3. `edge`: its file, whose tenants belong to the decision module's settings;
 //! 4. `actors`: the core, the lifecycle, which carries operators' commands out on it, the edge, and
 //!    the source of the endpoint list (`endpoints`), which the core receives from now on;
-//! 5. `fronts`: the batch front and the platform's front.
+//! 5. `fronts`: the batch front and the platform's front;
+//! 6. `handover`: this process's side of replacements.
 //!
 //! Clients are accepted by [`Router::serve`], not here.
 
@@ -15,6 +16,7 @@
 mod edge;
 mod endpoints;
 mod fronts;
+mod handover;
 mod listeners;
 mod predecessor;
 
@@ -91,7 +93,8 @@
             .platform
             .map(|listener| PlatformFront { front, listener }),
         batch,
-        handover: start.into_handover(
+        handover: handover::handover_start(
+            start,
             actors,
             limits,
             config.localities,
--- a/src/router/open/predecessor.rs
+++ b/src/router/open/predecessor.rs
@@ -4,17 +4,15 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use tokio::sync::{Notify, watch};
+use tokio::sync::watch;
 
-use super::actors::Actors;
 use crate::config::Config;
 use crate::core::{Clock, CoreHandle};
 use crate::lifecycle::{DrainingSince, Lifecycle};
 use crate::net::discovery::endpoint_list::EndpointList;
-use crate::net::handover::{Handover, LimitShares, PredecessorLink, Rendezvous};
+use crate::net::handover::{LimitShares, PredecessorLink, Rendezvous};
 use crate::net::http::MAX_BODY_BYTES;
 use crate::ops::maintenance_state::MaintenanceState;
-use crate::router::HandoverStart;
 
 /// The part of the memory limit that bodies of requests may fill, as a divisor.
 const BODY_MEMORY_DIVISOR: usize = 3;
@@ -26,9 +24,9 @@
 pub(super) struct StartState {
     /// Where other processes of the router find this one; `None` where it neither replaces another
     /// one nor is replaced.
-    rendezvous: Option<Rendezvous>,
+    pub(super) rendezvous: Option<Rendezvous>,
     /// The process that this one replaces.
-    predecessor: Option<PredecessorLink>,
+    pub(super) predecessor: Option<PredecessorLink>,
     /// The maintenance state, with its times on `clock`.
     pub(super) maintenance: MaintenanceState,
     clock: Clock,
@@ -97,33 +95,6 @@
             !self.has_predecessor(),
         )
     }
-
-    /// This process's side of replacements; `None` where there are none.
-    pub(super) fn into_handover(
-        self,
-        actors: Actors,
-        limits: Arc<LimitShares>,
-        localities: Vec<String>,
-        shutdown: watch::Receiver<bool>,
-        successor_serving: watch::Sender<bool>,
-    ) -> Option<HandoverStart> {
-        let handover = Handover {
-            rendezvous: self.rendezvous?,
-            lifecycle: actors.lifecycle,
-            limits,
-            endpoints: actors.endpoints,
-            localities,
-            resolver: actors.resolver,
-            shutdown,
-            successor_serving,
-            rebind: Notify::new(),
-            owns_socket: false.into(),
-        };
-        Some(HandoverStart {
-            handover: Arc::new(handover),
-            predecessor: self.predecessor,
-        })
-    }
 }
 
 /// Starts on the predecessor's endpoint list unless the configuration has a newer one: discovery
