--- a/src/batch/store.rs
+++ b/src/batch/store.rs
@@ -15,8 +15,8 @@
 use tokio::task::spawn_blocking;
 
 use crate::edge::Caller;
-use crate::storage::file_system::retry_on_interrupt;
 use crate::storage::{Disk, FileSystem, OpenFile};
+use crate::system_call::retry_on_interrupt;
 
 use appender::Lease;
 
--- a/src/batch/store/appender.rs
+++ b/src/batch/store/appender.rs
@@ -5,7 +5,8 @@
 
 use super::{FileInfo, Store, StoreError};
 use crate::storage::OpenFile;
-use crate::storage::file_system::{retry_on_interrupt, write_all_at};
+use crate::storage::file_system::write_all_at;
+use crate::system_call::retry_on_interrupt;
 
 /// The one writer of a file.
 pub struct Appender {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -33,6 +33,7 @@
 pub mod routing;
 pub mod spend;
 pub mod storage;
+mod system_call;
 pub mod wire;
 
 pub use policy::Balancer;
--- a/src/net/stream/mod.rs
+++ b/src/net/stream/mod.rs
@@ -24,6 +24,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
+use crate::system_call::retry_on_interrupt;
+
 pub use socket::Socket;
 
 /// The most that one read takes, in bytes. Bounds how much memory is cleared ahead of it.
@@ -68,7 +70,7 @@
     /// Whether the peer has closed or reset the connection, also where unread bytes come before the
     /// close. Makes a system call.
     pub fn peer_has_closed(&self) -> bool {
-        match retry_interrupted(|| self.socket.poll_hangup()) {
+        match retry_on_interrupt(|| self.socket.poll_hangup()) {
             Ok(closed) => closed,
             // the poll failed: the close shows once the bytes before it have been read
             Err(_) => self.state() == StreamState::Closed,
@@ -78,7 +80,7 @@
     /// Waits until there are bytes to read (true), or the connection has closed or failed (false).
     /// Consumes nothing. Cancel safe.
     pub async fn readable(&self) -> bool {
-        let peek = || retry_interrupted(|| self.socket.receive(&mut [0], RecvFlags::PEEK));
+        let peek = || retry_on_interrupt(|| self.socket.receive(&mut [0], RecvFlags::PEEK));
         matches!(
             self.socket.async_io(Interest::READABLE, peek).await,
             Ok(1..)
@@ -88,19 +90,19 @@
     /// Copies the first bytes that have arrived without consuming them. 0 at the connection's end;
     /// `WouldBlock` where nothing has arrived. Makes a system call.
     pub fn try_peek(&self, buffer: &mut [u8]) -> io::Result<usize> {
-        retry_interrupted(|| self.socket.receive(buffer, RecvFlags::PEEK))
+        retry_on_interrupt(|| self.socket.receive(buffer, RecvFlags::PEEK))
     }
 
     /// Reads bytes that have arrived. 0 at the connection's end; `WouldBlock` where nothing has
     /// arrived. Makes a system call.
     pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
-        retry_interrupted(|| self.socket.receive(buffer, RecvFlags::empty()))
+        retry_on_interrupt(|| self.socket.receive(buffer, RecvFlags::empty()))
     }
 
     /// Writes all of it.
     pub async fn write_all(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
-            let send = || retry_interrupted(|| self.socket.send(bytes));
+            let send = || retry_on_interrupt(|| self.socket.send(bytes));
             let written = self.socket.async_io(Interest::WRITABLE, send).await?;
             if written == 0 {
                 return Err(io::ErrorKind::WriteZero.into());
@@ -147,7 +149,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let send = || retry_interrupted(|| self.socket.send(bytes));
+        let send = || retry_on_interrupt(|| self.socket.send(bytes));
         loop {
             ready!(self.socket.poll_write_ready(context))?;
             match self.socket.try_io(Interest::WRITABLE, send) {
@@ -167,15 +169,5 @@
     }
 }
 
-/// Retries a call for as long as signals interrupt it.
-fn retry_interrupted<R>(mut call: impl FnMut() -> io::Result<R>) -> io::Result<R> {
-    loop {
-        match call() {
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            result => return result,
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/storage/atomic_file.rs
+++ b/src/storage/atomic_file.rs
@@ -9,7 +9,8 @@
 use thiserror::Error;
 
 use super::FileSystem;
-use super::file_system::{retry_on_interrupt, write_all_at};
+use super::file_system::write_all_at;
+use crate::system_call::retry_on_interrupt;
 
 /// A call of the replacement, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/storage/file_system.rs
+++ b/src/storage/file_system.rs
@@ -5,6 +5,8 @@
 use std::path::Path;
 use std::sync::Arc;
 
+use crate::system_call::retry_on_interrupt;
+
 /// The calls on paths. Each may fail with any error that Linux documents for it, `Interrupted`
 /// included.
 pub trait FileSystem: Send + Sync {
@@ -32,16 +34,6 @@
     fn sync(&self) -> io::Result<()>;
 }
 
-/// Repeats a call as long as signals interrupt it.
-pub fn retry_on_interrupt<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    loop {
-        match call() {
-            Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            result => return result,
-        }
-    }
-}
-
 /// Writes all bytes at an offset, in as many calls as it takes.
 pub fn write_all_at(file: &dyn OpenFile, bytes: &[u8], offset: u64) -> io::Result<()> {
     let mut written = 0;
