--- a/src/net/handover/exchange.rs
+++ b/src/net/handover/exchange.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-use super::message::Message;
+use super::message::PeerMessage;
 use super::message_stream::{Connection, MessageReader, MessageWriter};
 use super::outgoing_transfers::OutgoingTransfers;
 use super::peer_registration::PeerRegistration;
@@ -80,7 +80,7 @@
 }
 
 /// Writes queued messages until the connection fails.
-async fn write_queue(mut queue: mpsc::Receiver<Message>, writer: &mut MessageWriter) {
+async fn write_queue(mut queue: mpsc::Receiver<PeerMessage>, writer: &mut MessageWriter) {
     while let Some(message) = queue.recv().await {
         if writer.write(&message).await.is_err() {
             return;
@@ -89,8 +89,8 @@
 }
 
 /// Something that an exchange reacts to.
-enum Event {
-    Received(Message),
+enum ExchangeEvent {
+    Received(PeerMessage),
     CommandRequested(ForwardedCommand),
     EndpointsChanged,
     LimitsReleased(ResourceAmounts),
@@ -101,7 +101,7 @@
 struct Exchange<'a> {
     handover: &'a Handover,
     session: Session,
-    outgoing: mpsc::Sender<Message>,
+    outgoing: mpsc::Sender<PeerMessage>,
     /// Operators' commands for the other process. Dropped before `transfers`: limits return to this
     /// process when it no longer has a peer.
     commands: PeerRegistration<'a>,
@@ -123,60 +123,60 @@
     }
 
     /// The next event; `None` once the other process has ended or its connection has failed.
-    async fn next_event(&mut self, reader: &mut MessageReader) -> Option<Event> {
+    async fn next_event(&mut self, reader: &mut MessageReader) -> Option<ExchangeEvent> {
         let to_successor = self.session.peer_is_successor();
         let event = tokio::select! {
             received = reader.read() => match received {
-                Ok(message) => Event::Received(message?),
+                Ok(message) => ExchangeEvent::Received(message?),
                 Err(error) => {
                     warn!("connection to the other process of this router: {error}");
                     return None;
                 }
             },
-            Some(forward) = self.commands.recv() => Event::CommandRequested(forward),
-            Ok(()) = self.endpoints.changed(), if to_successor => Event::EndpointsChanged,
-            Some(amounts) = self.transfers.recv() => Event::LimitsReleased(amounts),
-            announcement = announced(&mut self.takeover) => Event::TakeoverAnnounced(announcement),
+            Some(forward) = self.commands.recv() => ExchangeEvent::CommandRequested(forward),
+            Ok(()) = self.endpoints.changed(), if to_successor => ExchangeEvent::EndpointsChanged,
+            Some(amounts) = self.transfers.recv() => ExchangeEvent::LimitsReleased(amounts),
+            announcement = next_announcement(&mut self.takeover) => ExchangeEvent::TakeoverAnnounced(announcement),
         };
         Some(event)
     }
 
     /// Carries an event out; the message that it makes for the other process.
-    async fn respond(&mut self, event: Event) -> Option<Message> {
+    async fn respond(&mut self, event: ExchangeEvent) -> Option<PeerMessage> {
         match event {
-            Event::Received(message) => {
+            ExchangeEvent::Received(message) => {
                 let effect = self.session.receive(message);
                 self.apply(effect).await
             }
-            Event::CommandRequested(forwarded) => {
+            ExchangeEvent::CommandRequested(forwarded) => {
                 let ForwardedCommand {
                     command,
                     confirmation,
                 } = forwarded;
                 Some(self.session.forward_command(command, confirmation))
             }
-            Event::EndpointsChanged => {
+            ExchangeEvent::EndpointsChanged => {
                 let list = self.endpoints.borrow_and_update().clone();
-                list.map(Message::EndpointsUpdated)
+                list.map(PeerMessage::EndpointsUpdated)
             }
-            Event::LimitsReleased(amounts) => {
+            ExchangeEvent::LimitsReleased(amounts) => {
                 self.transfers.record(amounts);
-                Some(Message::LimitsTransferred(amounts))
+                Some(PeerMessage::LimitsTransferred(amounts))
             }
-            Event::TakeoverAnnounced(TakeoverAnnouncement { acknowledged }) => {
+            ExchangeEvent::TakeoverAnnounced(TakeoverAnnouncement { acknowledged }) => {
                 Some(self.session.announce_takeover(acknowledged))
             }
         }
     }
 
     /// Carries out what a message causes; the answer to it.
-    async fn apply(&self, effect: Effect) -> Option<Message> {
+    async fn apply(&self, effect: Effect) -> Option<PeerMessage> {
         let handover = self.handover;
         match effect {
             Effect::Nothing => {}
             Effect::ExecuteCommand { id, command } => {
                 let succeeded = handover.lifecycle.execute_for_peer(command).await;
-                return Some(Message::AdminCommandResult { id, succeeded });
+                return Some(PeerMessage::AdminCommandResult { id, succeeded });
             }
             Effect::UpdateEndpoints(list) => {
                 let revision = list.revision();
@@ -192,7 +192,7 @@
                 info!("the successor process has taken over");
                 handover.successor_serving.send_replace(true);
                 handover.lifecycle.set_succeeded(true);
-                return Some(Message::TakeoverAcknowledged);
+                return Some(PeerMessage::TakeoverAcknowledged);
             }
         }
         None
@@ -200,7 +200,7 @@
 }
 
 /// Waits for the one announcement. Never returns where there is none to come. Cancel safe.
-async fn announced(
+async fn next_announcement(
     takeover: &mut Option<oneshot::Receiver<TakeoverAnnouncement>>,
 ) -> TakeoverAnnouncement {
     if let Some(receiver) = takeover {
--- a/src/net/handover/message.rs
+++ b/src/net/handover/message.rs
@@ -11,7 +11,7 @@
 
 /// A message between two processes of one router.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) enum Message {
+pub(super) enum PeerMessage {
     /// The successor's first message.
     #[serde(rename = "hello")]
     Hello {
@@ -37,7 +37,7 @@
     /// From the successor: it serves clients.
     #[serde(rename = "ready")]
     SuccessorServing,
-    /// The predecessor's answer to [`Message::SuccessorServing`].
+    /// The predecessor's answer to [`PeerMessage::SuccessorServing`].
     #[serde(rename = "taken")]
     TakeoverAcknowledged,
     /// An operator's command that both processes have to carry out.
@@ -49,7 +49,7 @@
         #[serde(rename = "call")]
         command: AdminCommand,
     },
-    /// The answer to [`Message::AdminCommand`].
+    /// The answer to [`PeerMessage::AdminCommand`].
     #[serde(rename = "done")]
     AdminCommandResult {
         /// The command's number.
--- a/src/net/handover/message/tests.rs
+++ b/src/net/handover/message/tests.rs
@@ -17,46 +17,46 @@
 }
 
 #[rstest]
-#[case::hello(Message::Hello { version: 1 }, r#"{"hello":{"version":1}}"#)]
+#[case::hello(PeerMessage::Hello { version: 1 }, r#"{"hello":{"version":1}}"#)]
 #[case::hello_acknowledged_without_endpoints(
-    Message::HelloAcknowledged { maintenance: MaintenanceState::default(), endpoints: None },
+    PeerMessage::HelloAcknowledged { maintenance: MaintenanceState::default(), endpoints: None },
     r#"{"met":{"orders":{"bans":[],"drained":false},"list":null}}"#
 )]
 #[case::hello_acknowledged(
-    Message::HelloAcknowledged { maintenance: maintenance(), endpoints: Some(list()) },
+    PeerMessage::HelloAcknowledged { maintenance: maintenance(), endpoints: Some(list()) },
     &format!(r#"{{"met":{{"orders":{{"bans":[{{"name":"s-a","since":5}}],"drained":true}},"list":{LIST}}}}}"#)
 )]
-#[case::endpoints_updated(Message::EndpointsUpdated(list()), &format!(r#"{{"list":{LIST}}}"#))]
-#[case::limits_transferred(Message::LimitsTransferred([1, 20, 300].into()), r#"{"share":[1,20,300]}"#)]
-#[case::successor_serving(Message::SuccessorServing, r#""ready""#)]
-#[case::takeover_acknowledged(Message::TakeoverAcknowledged, r#""taken""#)]
+#[case::endpoints_updated(PeerMessage::EndpointsUpdated(list()), &format!(r#"{{"list":{LIST}}}"#))]
+#[case::limits_transferred(PeerMessage::LimitsTransferred([1, 20, 300].into()), r#"{"share":[1,20,300]}"#)]
+#[case::successor_serving(PeerMessage::SuccessorServing, r#""ready""#)]
+#[case::takeover_acknowledged(PeerMessage::TakeoverAcknowledged, r#""taken""#)]
 #[case::drain(
-    Message::AdminCommand { id: 1, command: AdminCommand::Drain },
+    PeerMessage::AdminCommand { id: 1, command: AdminCommand::Drain },
     r#"{"call":{"id":1,"call":"drain"}}"#
 )]
 #[case::undrain(
-    Message::AdminCommand { id: 2, command: AdminCommand::Undrain },
+    PeerMessage::AdminCommand { id: 2, command: AdminCommand::Undrain },
     r#"{"call":{"id":2,"call":"undrain"}}"#
 )]
 #[case::disable(
-    Message::AdminCommand { id: 3, command: AdminCommand::Disable("s-a".into()) },
+    PeerMessage::AdminCommand { id: 3, command: AdminCommand::Disable("s-a".into()) },
     r#"{"call":{"id":3,"call":{"disable":"s-a"}}}"#
 )]
 #[case::enable(
-    Message::AdminCommand { id: 4, command: AdminCommand::Enable("s-a".into()) },
+    PeerMessage::AdminCommand { id: 4, command: AdminCommand::Enable("s-a".into()) },
     r#"{"call":{"id":4,"call":{"enable":"s-a"}}}"#
 )]
 #[case::command_succeeded(
-    Message::AdminCommandResult { id: 4, succeeded: true },
+    PeerMessage::AdminCommandResult { id: 4, succeeded: true },
     r#"{"done":{"id":4,"done":true}}"#
 )]
 #[case::command_failed(
-    Message::AdminCommandResult { id: 5, succeeded: false },
+    PeerMessage::AdminCommandResult { id: 5, succeeded: false },
     r#"{"done":{"id":5,"done":false}}"#
 )]
-fn message_text_stays(#[case] message: Message, #[case] text: &str) {
+fn message_text_stays(#[case] message: PeerMessage, #[case] text: &str) {
     assert_eq!(serde_json::to_string(&message).unwrap(), text);
-    let read: Message = serde_json::from_str(text).unwrap();
+    let read: PeerMessage = serde_json::from_str(text).unwrap();
     assert_eq!(format!("{read:?}"), format!("{message:?}"));
 }
 
@@ -66,5 +66,5 @@
 #[case::negative(r#"{"share":[1,2,-3]}"#)]
 #[case::object(r#"{"share":{"client_sockets":1}}"#)]
 fn limits_are_three_counts(#[case] text: &str) {
-    assert!(serde_json::from_str::<Message>(text).is_err());
+    assert!(serde_json::from_str::<PeerMessage>(text).is_err());
 }
--- a/src/net/handover/message_stream.rs
+++ b/src/net/handover/message_stream.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncWriteExt, ReadHalf, WriteHalf};
 use tokio::net::UnixStream;
 
-use super::message::Message;
+use super::message::PeerMessage;
 use crate::net::http::Buffer;
 use crate::net::stream::Stream;
 
@@ -56,7 +56,7 @@
 
 impl MessageReader {
     /// The next message; `None` at the connection's end, also within a message. Cancel safe.
-    pub(super) async fn read(&mut self) -> Result<Option<Message>, MessageError> {
+    pub(super) async fn read(&mut self) -> Result<Option<PeerMessage>, MessageError> {
         loop {
             if let Some(end) = self.buffer.bytes().iter().position(|&byte| byte == b'\n') {
                 let line = self.buffer.copy_out(end + 1);
@@ -81,7 +81,7 @@
 
 impl MessageWriter {
     /// Writes a message.
-    pub(super) async fn write(&mut self, message: &Message) -> Result<(), MessageError> {
+    pub(super) async fn write(&mut self, message: &PeerMessage) -> Result<(), MessageError> {
         let mut line = serde_json::to_vec(message).map_err(MessageError::Unwritable)?;
         line.push(b'\n');
         Ok(self.half.write_all(&line).await?)
--- a/src/net/handover/message_stream/tests.rs
+++ b/src/net/handover/message_stream/tests.rs
@@ -29,7 +29,7 @@
     match is_message {
         None => assert!(matches!(received, Ok(None)), "{received:?}"),
         Some(true) => assert!(
-            matches!(received, Ok(Some(Message::AdminCommand { id: 1, .. }))),
+            matches!(received, Ok(Some(PeerMessage::AdminCommand { id: 1, .. }))),
             "{received:?}"
         ),
         Some(false) => assert!(
--- a/src/net/handover/predecessor_link.rs
+++ b/src/net/handover/predecessor_link.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use tracing::{debug, info, warn};
 
-use super::message::Message;
+use super::message::PeerMessage;
 use super::message_stream::{Connection, MessageError};
 use super::rendezvous::Rendezvous;
 use super::{PEER_TIMEOUT, PROTOCOL_VERSION};
@@ -107,7 +107,7 @@
         let mut connection = Connection::new(stream);
         let (maintenance, endpoints) =
             match timeout_at(deadline, exchange_hellos(&mut connection)).await {
-                Ok(Ok(Some(Message::HelloAcknowledged {
+                Ok(Ok(Some(PeerMessage::HelloAcknowledged {
                     maintenance,
                     endpoints,
                 }))) => {
@@ -134,8 +134,8 @@
 }
 
 /// Sends the hello; the predecessor's answer.
-async fn exchange_hellos(connection: &mut Connection) -> Result<Option<Message>, MessageError> {
-    let hello = Message::Hello {
+async fn exchange_hellos(connection: &mut Connection) -> Result<Option<PeerMessage>, MessageError> {
+    let hello = PeerMessage::Hello {
         version: PROTOCOL_VERSION,
     };
     connection.writer.write(&hello).await?;
--- a/src/net/handover/predecessor_link/tests.rs
+++ b/src/net/handover/predecessor_link/tests.rs
@@ -35,8 +35,8 @@
     let mut open = Vec::new();
     while let Ok((stream, _)) = listener.accept().await {
         let mut connection = Connection::new(stream);
-        if let Ok(Some(Message::Hello { .. })) = connection.reader.read().await {
-            let answer = Message::HelloAcknowledged {
+        if let Ok(Some(PeerMessage::Hello { .. })) = connection.reader.read().await {
+            let answer = PeerMessage::HelloAcknowledged {
                 maintenance: MaintenanceState::default(),
                 endpoints: None,
             };
--- a/src/net/handover/session.rs
+++ b/src/net/handover/session.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::oneshot;
 
-use super::message::Message;
+use super::message::PeerMessage;
 use super::resource_amounts::ResourceAmounts;
 use crate::lifecycle::AdminCommand;
 use crate::net::discovery::endpoint_list::EndpointList;
@@ -67,24 +67,30 @@
     }
 
     /// Takes a message in.
-    pub(super) fn receive(&mut self, message: Message) -> Effect {
+    pub(super) fn receive(&mut self, message: PeerMessage) -> Effect {
         match (self.peer, message) {
-            (_, Message::AdminCommand { id, command }) => Effect::ExecuteCommand { id, command },
-            (_, Message::AdminCommandResult { id, succeeded }) => {
+            (_, PeerMessage::AdminCommand { id, command }) => {
+                Effect::ExecuteCommand { id, command }
+            }
+            (_, PeerMessage::AdminCommandResult { id, succeeded }) => {
                 if let Some(result) = self.pending_commands.remove(&id) {
                     let _ = result.send(succeeded);
                 }
                 Effect::Nothing
             }
-            (_, Message::TakeoverAcknowledged) => {
+            (_, PeerMessage::TakeoverAcknowledged) => {
                 if let Some(acknowledged) = self.takeover_acknowledged.take() {
                     let _ = acknowledged.send(());
                 }
                 Effect::Nothing
             }
-            (Peer::Predecessor, Message::EndpointsUpdated(list)) => Effect::UpdateEndpoints(list),
-            (Peer::Predecessor, Message::LimitsTransferred(limits)) => Effect::AddLimits(limits),
-            (Peer::Successor, Message::SuccessorServing) => {
+            (Peer::Predecessor, PeerMessage::EndpointsUpdated(list)) => {
+                Effect::UpdateEndpoints(list)
+            }
+            (Peer::Predecessor, PeerMessage::LimitsTransferred(limits)) => {
+                Effect::AddLimits(limits)
+            }
+            (Peer::Successor, PeerMessage::SuccessorServing) => {
                 self.peer_took_over = true;
                 Effect::YieldToSuccessor
             }
@@ -97,22 +103,22 @@
         &mut self,
         command: AdminCommand,
         result: oneshot::Sender<bool>,
-    ) -> Message {
+    ) -> PeerMessage {
         self.last_command_id += 1;
         // callers that wait no longer need no place
         self.pending_commands
             .retain(|_, pending| !pending.is_closed());
         self.pending_commands.insert(self.last_command_id, result);
-        Message::AdminCommand {
+        PeerMessage::AdminCommand {
             id: self.last_command_id,
             command,
         }
     }
 
     /// The message that announces to the predecessor that this process serves.
-    pub(super) fn announce_takeover(&mut self, acknowledged: oneshot::Sender<()>) -> Message {
+    pub(super) fn announce_takeover(&mut self, acknowledged: oneshot::Sender<()>) -> PeerMessage {
         self.takeover_acknowledged = Some(acknowledged);
-        Message::SuccessorServing
+        PeerMessage::SuccessorServing
     }
 }
 
--- a/src/net/handover/session/tests.rs
+++ b/src/net/handover/session/tests.rs
@@ -8,15 +8,15 @@
 
 /// What a process does with each message, by the side of its peer.
 #[rstest]
-#[case::command(Message::AdminCommand { id: 3, command: AdminCommand::Drain }, "ExecuteCommand", "ExecuteCommand")]
-#[case::result(Message::AdminCommandResult { id: 3, succeeded: true }, "Nothing", "Nothing")]
-#[case::endpoints(Message::EndpointsUpdated(list()), "UpdateEndpoints", "Nothing")]
-#[case::limits(Message::LimitsTransferred([1, 2, 3].into()), "AddLimits", "Nothing")]
-#[case::serving(Message::SuccessorServing, "Nothing", "YieldToSuccessor")]
-#[case::acknowledged(Message::TakeoverAcknowledged, "Nothing", "Nothing")]
-#[case::late_hello(Message::Hello { version: 1 }, "Nothing", "Nothing")]
+#[case::command(PeerMessage::AdminCommand { id: 3, command: AdminCommand::Drain }, "ExecuteCommand", "ExecuteCommand")]
+#[case::result(PeerMessage::AdminCommandResult { id: 3, succeeded: true }, "Nothing", "Nothing")]
+#[case::endpoints(PeerMessage::EndpointsUpdated(list()), "UpdateEndpoints", "Nothing")]
+#[case::limits(PeerMessage::LimitsTransferred([1, 2, 3].into()), "AddLimits", "Nothing")]
+#[case::serving(PeerMessage::SuccessorServing, "Nothing", "YieldToSuccessor")]
+#[case::acknowledged(PeerMessage::TakeoverAcknowledged, "Nothing", "Nothing")]
+#[case::late_hello(PeerMessage::Hello { version: 1 }, "Nothing", "Nothing")]
 fn message_effects_by_peer(
-    #[case] message: Message,
+    #[case] message: PeerMessage,
     #[case] from_predecessor: &str,
     #[case] from_successor: &str,
 ) {
@@ -35,14 +35,14 @@
 fn successor_takes_over_once_serving() {
     let mut session = Session::new(Peer::Successor);
     assert!(!session.peer_took_over());
-    session.receive(Message::SuccessorServing);
+    session.receive(PeerMessage::SuccessorServing);
     assert!(session.peer_took_over());
 }
 
 #[test]
 fn predecessor_never_takes_over() {
     let mut session = Session::new(Peer::Predecessor);
-    session.receive(Message::SuccessorServing);
+    session.receive(PeerMessage::SuccessorServing);
     assert!(!session.peer_took_over());
 }
 
@@ -53,9 +53,9 @@
     let (second, mut second_result) = oneshot::channel();
     session.forward_command(AdminCommand::Drain, first);
     let message = session.forward_command(AdminCommand::Undrain, second);
-    assert!(matches!(message, Message::AdminCommand { id: 2, .. }));
+    assert!(matches!(message, PeerMessage::AdminCommand { id: 2, .. }));
     for (id, succeeded) in [(9, true), (2, false), (1, true)] {
-        session.receive(Message::AdminCommandResult { id, succeeded });
+        session.receive(PeerMessage::AdminCommandResult { id, succeeded });
     }
     assert_eq!(first_result.try_recv(), Ok(true));
     assert_eq!(second_result.try_recv(), Ok(false));
@@ -76,7 +76,7 @@
     let mut session = Session::new(Peer::Predecessor);
     let (acknowledged, mut acknowledgement) = oneshot::channel();
     let message = session.announce_takeover(acknowledged);
-    assert!(matches!(message, Message::SuccessorServing));
-    session.receive(Message::TakeoverAcknowledged);
+    assert!(matches!(message, PeerMessage::SuccessorServing));
+    session.receive(PeerMessage::TakeoverAcknowledged);
     assert_eq!(acknowledgement.try_recv(), Ok(()));
 }
--- a/src/net/handover/successors.rs
+++ b/src/net/handover/successors.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-use super::message::Message;
+use super::message::PeerMessage;
 use super::message_stream::Connection;
 use super::session::Peer;
 use super::{Handover, MAX_SUCCESSORS, PEER_TIMEOUT, PROTOCOL_VERSION};
@@ -57,13 +57,13 @@
     async fn serve_successor(&self, stream: UnixStream) {
         let mut connection = Connection::new(stream);
         match timeout(PEER_TIMEOUT, connection.reader.read()).await {
-            Ok(Ok(Some(Message::Hello {
+            Ok(Ok(Some(PeerMessage::Hello {
                 version: PROTOCOL_VERSION,
             }))) => {}
             _ => return warn!("a process connected that sends no hello of this version"),
         }
         info!("a successor process has connected");
-        let acknowledged = Message::HelloAcknowledged {
+        let acknowledged = PeerMessage::HelloAcknowledged {
             maintenance: self.lifecycle.maintenance_state().await,
             endpoints: self.endpoints.borrow().clone(),
         };
--- a/src/net/handover/takeover.rs
+++ b/src/net/handover/takeover.rs
@@ -27,10 +27,10 @@
     ) -> oneshot::Sender<TakeoverAnnouncement> {
         let (announce, takeover) = oneshot::channel();
         let handover = self.clone();
-        let following =
+        let exchange_task =
             tokio::spawn(async move { handover.follow_predecessor(link, takeover).await });
         let started = Instant::now();
-        while !following.is_finished() {
+        while !exchange_task.is_finished() {
             if !self.limits.admits_clients() && started.elapsed() > PEER_TIMEOUT {
                 warn!("the predecessor process transfers no limits; taking half of them");
                 self.limits.raise_to_half();
--- a/src/net/listener/body.rs
+++ b/src/net/listener/body.rs
@@ -42,7 +42,7 @@
     }
 
     /// Receives the body of an incoming request, up to `max_bytes`. Its memory is reserved from
-    /// `memory` (in KiB) as bytes arrive, not by the announced length: clients could otherwise
+    /// `memory` (in KiB) as bytes arrive, not by the declared length: clients could otherwise
     /// reserve all of it without sending anything. A reservation is awaited for at most `max_wait`,
     /// if that is given.
     pub async fn receive_body(
