--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Owns the connection to discovery, the revision that the next poll continues from, and the
 //! snapshot of the list for a successor process. When the watcher polls is decided elsewhere: by
-//! the decision module, through the core's orders.
+//! the decision module, through the core's commands.
 
 mod client;
 pub mod endpoint_list;
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -1,4 +1,4 @@
-//! The watcher of the endpoint list: an actor that polls discovery when the core orders it to, and
+//! The watcher of the endpoint list: an actor that polls discovery when the core commands it, and
 //! reports each answer to the core.
 //!
 //! - Polls are long polls for the changes after a revision, on one connection. One is under way at
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NextStep {
     Poll,
-    AwaitOrder,
+    AwaitCommand,
 }
 
 /// How a poll ended.
@@ -59,7 +59,7 @@
     pushed: bool,
     timeout_retry_delay: Duration,
     snapshot: Snapshot,
-    orders: mpsc::Receiver<DiscoveryCommand>,
+    commands: mpsc::Receiver<DiscoveryCommand>,
     core: mpsc::Sender<Message>,
     client: DiscoveryClient,
     /// The next poll is for the complete list.
@@ -71,7 +71,7 @@
 /// Runs the watcher until the core stops.
 pub async fn run(
     options: Options,
-    orders: mpsc::Receiver<DiscoveryCommand>,
+    commands: mpsc::Receiver<DiscoveryCommand>,
     core: mpsc::Sender<Message>,
 ) {
     let mut watcher = Watcher {
@@ -81,7 +81,7 @@
         pushed: options.pushed,
         timeout_retry_delay: options.timeout_retry_delay,
         snapshot: Snapshot::new(options.snapshot),
-        orders,
+        commands,
         core,
         client: DiscoveryClient::default(),
         resync: false,
@@ -89,7 +89,7 @@
         next_step: if options.poll_at_start || options.pushed {
             NextStep::Poll
         } else {
-            NextStep::AwaitOrder
+            NextStep::AwaitCommand
         },
     };
     while watcher.step().await.is_ok() {}
@@ -98,14 +98,14 @@
 impl Watcher {
     async fn step(&mut self) -> Result<(), CoreStopped> {
         self.next_step = match self.next_step {
-            NextStep::AwaitOrder => self.await_order().await?,
+            NextStep::AwaitCommand => self.await_command().await?,
             NextStep::Poll => self.poll().await?,
         };
         Ok(())
     }
 
-    async fn await_order(&mut self) -> Result<NextStep, CoreStopped> {
-        match self.orders.recv().await.ok_or(CoreStopped)? {
+    async fn await_command(&mut self) -> Result<NextStep, CoreStopped> {
+        match self.commands.recv().await.ok_or(CoreStopped)? {
             DiscoveryCommand::Watch => {}
             DiscoveryCommand::Refresh => self.begin_resync(),
             DiscoveryCommand::ChangeAddress { address } => self.move_to(address),
@@ -118,7 +118,7 @@
                     self.revision = revision;
                     report(&self.core, list).await?;
                 }
-                return Ok(NextStep::AwaitOrder);
+                return Ok(NextStep::AwaitCommand);
             }
         }
         Ok(NextStep::Poll)
@@ -134,7 +134,7 @@
         Ok(NextStep::Poll)
     }
 
-    /// Polls once. An order that makes the answer useless ends the poll early.
+    /// Polls once. A command that makes the answer useless ends the poll early.
     async fn poll_until_outdated(&mut self) -> Result<PollEnd, CoreStopped> {
         let query = if self.resync {
             Query::CompleteList
@@ -148,7 +148,7 @@
         loop {
             tokio::select! {
                 biased;
-                order = self.orders.recv() => match order.ok_or(CoreStopped)? {
+                command = self.commands.recv() => match command.ok_or(CoreStopped)? {
                     // the poll under way answers that as well
                     DiscoveryCommand::Watch => {}
                     DiscoveryCommand::Refresh => return Ok(PollEnd::Outdated),
@@ -200,7 +200,7 @@
         };
         report(&self.core, failed).await?;
         if !self.pushed {
-            return Ok(NextStep::AwaitOrder);
+            return Ok(NextStep::AwaitCommand);
         }
         tokio::time::sleep(PUSH_RETRY_DELAY).await;
         Ok(NextStep::Poll)
--- a/src/net/discovery/watcher/options.rs
+++ b/src/net/discovery/watcher/options.rs
@@ -11,6 +11,7 @@
 /// this add up to 4.75 s. Each router takes a part of it, so that routers whose polls timed out
 /// together don't repeat them together.
 pub const MAX_TIMEOUT_RETRY_DELAY: Duration = Duration::from_millis(750);
+
 /// What the watcher is started with.
 pub struct Options {
     /// Discovery's address.
@@ -19,10 +20,10 @@
     pub revision: u64,
     /// The names of the zones, in the order of their numbers.
     pub localities: Vec<String>,
-    /// Poll from the start, without an order: the predecessor process was polling.
+    /// Poll from the start, without a command: the predecessor process was polling.
     pub poll_at_start: bool,
     /// An agent next to the router has the list pushed to it, and its changes count at once: poll
-    /// from the start, and again after each failure without an order.
+    /// from the start, and again after each failure without a command.
     pub pushed: bool,
     /// The delay before a poll that timed out is repeated, up to [`MAX_TIMEOUT_RETRY_DELAY`].
     pub timeout_retry_delay: Duration,
--- a/src/net/handover/exchange.rs
+++ b/src/net/handover/exchange.rs
@@ -181,11 +181,11 @@
             Effect::UpdateEndpoints(list) => {
                 let revision = list.revision();
                 let resolved = list.resolved(ListKind::Complete, &handover.localities);
-                let order = DiscoveryCommand::Adopt {
+                let command = DiscoveryCommand::Adopt {
                     version: revision,
                     update: resolved,
                 };
-                let _ = handover.resolver.send(order).await;
+                let _ = handover.discovery.send(command).await;
             }
             Effect::AddLimits(amounts) => handover.limits.add(amounts),
             Effect::YieldToSuccessor => {
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -66,7 +66,7 @@
     /// The names of the zones.
     pub localities: Vec<String>,
     /// Takes in the endpoint list of a predecessor.
-    pub resolver: mpsc::Sender<DiscoveryCommand>,
+    pub discovery: mpsc::Sender<DiscoveryCommand>,
     /// Turns true when this process shuts down.
     pub shutdown: watch::Receiver<bool>,
     /// Whether a successor serves clients.
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,9 +1,9 @@
 //! The upstream side: model servers. Each server has an actor with a mailbox, a pool of connections,
-//! and runs the call attempts and health checks that the core orders.
+//! and runs the call attempts and health checks that the core commands.
 //!
 //! Owns the connections to servers and the bytes on them. Decides nothing: which server gets a
 //! request, and whether an attempt is retried, is the decision module's; a request is written once
-//! for each attempt that was ordered.
+//! for each attempt that was commanded.
 
 mod attempt;
 mod attempt_end;
@@ -33,7 +33,7 @@
 /// between the connection and the first byte. An attempt that is later, as after the process was
 /// suspended in between, is not started.
 pub const START_GRACE: Duration = Duration::from_millis(100);
-/// The most orders that wait for the actor of an upstream.
+/// The most commands that wait for the actor of an upstream.
 const MAILBOX_CAPACITY: usize = 1024;
 
 /// The options that all upstreams share.
@@ -61,7 +61,7 @@
 
 impl Connector for TcpConnector {
     fn open(&self, replica: ReplicaId, host: &Endpoint) -> mpsc::Sender<UpstreamCommand> {
-        let (orders_to, orders) = mpsc::channel(MAILBOX_CAPACITY);
+        let (commands_to, commands) = mpsc::channel(MAILBOX_CAPACITY);
         if let Some(messages) = self.messages.get() {
             let upstream = Upstream {
                 replica,
@@ -76,9 +76,9 @@
                 "upstream {} ({:x}) at {}",
                 host.name, replica.0, host.address
             );
-            tokio::spawn(Arc::new(upstream).run(orders));
+            tokio::spawn(Arc::new(upstream).run(commands));
         }
-        orders_to
+        commands_to
     }
 }
 
@@ -127,9 +127,9 @@
 }
 
 impl Upstream {
-    async fn run(self: Arc<Self>, mut orders: mpsc::Receiver<UpstreamCommand>) {
-        while let Some(order) = orders.recv().await {
-            match order {
+    async fn run(self: Arc<Self>, mut commands: mpsc::Receiver<UpstreamCommand>) {
+        while let Some(command) = commands.recv().await {
+            match command {
                 UpstreamCommand::StartAttempt(attempt) => {
                     tokio::spawn(self.clone().run_attempt(attempt))
                 }
--- a/src/router/open/actors.rs
+++ b/src/router/open/actors.rs
@@ -26,7 +26,7 @@
 use crate::wire::replica_id;
 
 /// Commands to the source of the endpoint list that wait at most.
-const RESOLVER_QUEUE_LENGTH: usize = 4;
+const DISCOVERY_QUEUE_LENGTH: usize = 4;
 
 /// The running actors.
 pub(super) struct Actors {
@@ -36,8 +36,8 @@
     pub(super) lifecycle: Arc<Lifecycle>,
     /// The edge; `None` where it is off.
     pub(super) edge: Option<Arc<Edge>>,
-    /// The source of the endpoint list.
-    pub(super) resolver: mpsc::Sender<DiscoveryCommand>,
+    /// Commands for the source of the endpoint list.
+    pub(super) discovery: mpsc::Sender<DiscoveryCommand>,
     /// Whether that is discovery.
     pub(super) has_discovery: bool,
     /// The endpoint list as discovery sent it, for a successor.
@@ -55,11 +55,11 @@
         inventory: Option<PathBuf>,
     ) -> Result<Actors, RunError> {
         let server_sockets = limits.server_sockets.clone();
-        let (resolver, orders) = mpsc::channel(RESOLVER_QUEUE_LENGTH);
+        let (discovery, commands) = mpsc::channel(DISCOVERY_QUEUE_LENGTH);
         let (core, core_messages) = start_core(
             config,
             server_sockets.clone(),
-            resolver.clone(),
+            discovery.clone(),
             &start.maintenance,
         );
         let lifecycle = start.start_lifecycle(core.clone(), drain);
@@ -73,7 +73,7 @@
         };
         let (published, endpoints) = watch::channel(config.known_endpoints.clone());
         let channels = EndpointChannels {
-            orders,
+            commands,
             messages,
             published: start.is_replaceable().then_some(published),
         };
@@ -88,7 +88,7 @@
             core,
             lifecycle,
             edge,
-            resolver,
+            discovery,
             has_discovery,
             endpoints,
         })
@@ -98,7 +98,7 @@
     pub(super) fn reloader(&self, config_file: Option<PathBuf>) -> Reloader {
         Reloader {
             config_file,
-            resolver: self.has_discovery.then(|| self.resolver.clone()),
+            discovery: self.has_discovery.then(|| self.discovery.clone()),
             edge: self.edge.clone(),
         }
     }
@@ -108,7 +108,7 @@
 fn start_core(
     config: &Config,
     server_sockets: ConnectionLimit,
-    resolver: mpsc::Sender<DiscoveryCommand>,
+    discovery: mpsc::Sender<DiscoveryCommand>,
     maintenance: &MaintenanceState,
 ) -> (CoreHandle, mpsc::Sender<Message>) {
     let figures = Arc::new(Metrics::new(&config.classes));
@@ -131,7 +131,7 @@
         max_requests_in_flight: config.max_requests,
         attempt_start_timeout: config.connect_timeout + upstream::START_GRACE,
         connector: Box::new(connector),
-        discovery: resolver,
+        discovery,
         exclusions: exclusions
             .map(|exclusion| (replica_id(&exclusion.name), exclusion.clone()))
             .collect(),
--- a/src/router/open/endpoints.rs
+++ b/src/router/open/endpoints.rs
@@ -16,7 +16,7 @@
 /// What a source of the endpoint list is connected to.
 pub(super) struct EndpointChannels {
     /// Commands of the core and of the handover.
-    pub(super) orders: mpsc::Receiver<DiscoveryCommand>,
+    pub(super) commands: mpsc::Receiver<DiscoveryCommand>,
     /// Where lists are sent.
     pub(super) messages: mpsc::Sender<Message>,
     /// Where discovery's list is published for a successor; `None` where none can follow.
@@ -28,7 +28,7 @@
     tokio::spawn(inventory::watcher::run(
         path,
         config.localities.clone(),
-        channels.orders,
+        channels.commands,
         channels.messages,
     ));
 }
@@ -70,6 +70,6 @@
             .mul_f64(config.seed as f64 / u64::MAX as f64),
         snapshot: channels.published,
     };
-    tokio::spawn(watcher::run(options, channels.orders, channels.messages));
+    tokio::spawn(watcher::run(options, channels.commands, channels.messages));
     true
 }
--- a/src/router/open/handover.rs
+++ b/src/router/open/handover.rs
@@ -25,7 +25,7 @@
         limits,
         endpoints: actors.endpoints,
         localities,
-        resolver: actors.resolver,
+        discovery: actors.discovery,
         shutdown,
         successor_serving,
         rebind: Notify::new(),
--- a/src/router/reload.rs
+++ b/src/router/reload.rs
@@ -16,7 +16,7 @@
 pub struct Reloader {
     pub(super) config_file: Option<PathBuf>,
     /// Discovery's actor; `None` where the model servers come from an inventory.
-    pub(super) resolver: Option<mpsc::Sender<DiscoveryCommand>>,
+    pub(super) discovery: Option<mpsc::Sender<DiscoveryCommand>>,
     pub(super) edge: Option<Arc<Edge>>,
 }
 
@@ -43,14 +43,14 @@
                 return error!("SIGHUP: {error}; the running configuration stays in force");
             }
         };
-        let (Some(resolver), Some(address)) = (&self.resolver, config.discovery) else {
+        let (Some(discovery), Some(address)) = (&self.discovery, config.discovery) else {
             return info!(
                 "SIGHUP: {}: nothing in it that can change while serving",
                 file.display()
             );
         };
         info!("SIGHUP: {}: discovery at {address}", file.display());
-        let _ = resolver
+        let _ = discovery
             .send(DiscoveryCommand::ChangeAddress { address })
             .await;
     }
