--- a/src/inventory/host.rs
+++ b/src/inventory/host.rs
@@ -4,7 +4,7 @@
 use super::variables::{Variable, Variables};
 use super::{InventoryError, MAX_MODELS};
 use crate::core::Endpoint;
-use crate::interface::{Entry, State, Time};
+use crate::interface::{Entry, State, Timestamp};
 use crate::net::discovery::endpoint_list::zone_number;
 use crate::wire::replica_id;
 
@@ -18,7 +18,6 @@
 const MAX_CELL: f64 = 1e6;
 /// The latest start time, in milliseconds since 1970 (the year 5138).
 const MAX_START_MS: f64 = 1e14;
-const MICROS_PER_MILLI: u64 = 1000;
 
 /// One host of an inventory.
 pub(super) struct Host<'a> {
@@ -44,7 +43,7 @@
             zone,
             cell,
             state,
-            started: Time(start_ms.unwrap_or(0.0) as u64 * MICROS_PER_MILLI),
+            started: Timestamp::from_millis(start_ms.unwrap_or(0.0) as u64),
             rating: size.unwrap_or(DEFAULT_SIZE),
             ..Entry::default()
         };
