--- a/src/core/actor/mod.rs
+++ b/src/core/actor/mod.rs
@@ -76,7 +76,7 @@
     maintenance_replies: Vec<MaintenanceReply>,
     start_times: StartTimes,
     exclusions: Exclusions,
-    figures: Arc<Metrics>,
+    metrics: Arc<Metrics>,
     /// When the metrics of the fleet were last published; none when they are due with the next
     /// step.
     fleet_published_at: Option<Instant>,
@@ -113,7 +113,7 @@
             maintenance_replies: Vec::new(),
             start_times: StartTimes::default(),
             exclusions: Exclusions::new(options.exclusions),
-            figures: options.figures,
+            metrics: options.metrics,
             fleet_published_at: None,
             stalls: StallDetector::new(Instant::now()),
             upstreams: FxHashMap::default(),
@@ -128,7 +128,7 @@
             messages_to.clone(),
             maintenance_to,
             core.load.clone(),
-            core.figures.clone(),
+            core.metrics.clone(),
         );
         tokio::spawn(core.run());
         (handle, messages_to)
--- a/src/core/actor/run.rs
+++ b/src/core/actor/run.rs
@@ -145,7 +145,7 @@
             return;
         }
         self.fleet_published_at = Some(at);
-        self.figures.set_servers(
+        self.metrics.set_servers(
             self.exclusions.listed_servers(),
             self.balancer.unavailable_replicas(),
         );
--- a/src/core/handle.rs
+++ b/src/core/handle.rs
@@ -15,7 +15,7 @@
     messages: mpsc::Sender<Message>,
     commands: mpsc::Sender<MaintenanceCommand>,
     load: Arc<CoreLoad>,
-    figures: Arc<Metrics>,
+    metrics: Arc<Metrics>,
 }
 
 /// The core's actor has ended.
@@ -29,19 +29,19 @@
         messages: mpsc::Sender<Message>,
         commands: mpsc::Sender<MaintenanceCommand>,
         load: Arc<CoreLoad>,
-        figures: Arc<Metrics>,
+        metrics: Arc<Metrics>,
     ) -> CoreHandle {
         CoreHandle {
             messages,
             commands,
             load,
-            figures,
+            metrics,
         }
     }
 
     /// The metrics in which requests are counted.
-    pub fn figures(&self) -> &Arc<Metrics> {
-        &self.figures
+    pub fn metrics(&self) -> &Arc<Metrics> {
+        &self.metrics
     }
 
     /// Excludes a model server from routing or restores it; returns once the actor has carried it
@@ -74,7 +74,7 @@
     /// Submits a request. Dropping the pending request before its answer has been passed on
     /// completely reports to the core that the client has disconnected.
     pub async fn submit(&self, request: Request) -> Result<PendingRequest, CoreStopped> {
-        let counted = self.figures.start_request(request.attributes.class);
+        let counted = self.metrics.start_request(request.attributes.class);
         let (reply_to, answer) = oneshot::channel();
         let (id_to, id) = oneshot::channel();
         let message = Message::Submit {
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -124,7 +124,7 @@
             debug!("{}: failed to write a request: {e}", self.address);
             return Err(Interruption::Failed(Outcome::ConnectFailed));
         }
-        self.figures.record_attempt_sent();
+        self.metrics.record_attempt_sent();
         Ok(())
     }
 
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -54,7 +54,7 @@
     /// Limits the connections of all upstreams together.
     pub connection_limit: ConnectionLimit,
     /// Counts the attempts whose request was written.
-    pub figures: Arc<Metrics>,
+    pub metrics: Arc<Metrics>,
     /// The core's mailbox, once the core has started.
     pub messages: Arc<OnceLock<mpsc::Sender<Message>>>,
 }
@@ -68,7 +68,7 @@
                 address: host.address.clone(),
                 options: self.options.clone(),
                 connection_limit: self.connection_limit.clone(),
-                figures: self.figures.clone(),
+                metrics: self.metrics.clone(),
                 messages: messages.clone(),
                 pool: Mutex::default(),
             };
@@ -121,7 +121,7 @@
     address: String,
     options: Options,
     connection_limit: ConnectionLimit,
-    figures: Arc<Metrics>,
+    metrics: Arc<Metrics>,
     messages: mpsc::Sender<Message>,
     pool: Mutex<Pool>,
 }
--- a/src/router/open/actors.rs
+++ b/src/router/open/actors.rs
@@ -111,7 +111,7 @@
     discovery: mpsc::Sender<DiscoveryCommand>,
     maintenance: &MaintenanceState,
 ) -> (CoreHandle, mpsc::Sender<Message>) {
-    let figures = Arc::new(Metrics::new(&config.classes));
+    let metrics = Arc::new(Metrics::new(&config.classes));
     let connector = upstream::TcpConnector {
         options: upstream::Options {
             connect_timeout: config.connect_timeout,
@@ -119,7 +119,7 @@
             load_report_names: config.load_report_names.clone(),
         },
         connection_limit: server_sockets,
-        figures: figures.clone(),
+        metrics: metrics.clone(),
         messages: Arc::new(OnceLock::new()),
     };
     // connections send their messages to the core, which is started with their connector
@@ -135,7 +135,7 @@
         exclusions: exclusions
             .map(|exclusion| (replica_id(&exclusion.name), exclusion.clone()))
             .collect(),
-        figures,
+        metrics,
     });
     let _ = connector_messages.set(messages.clone());
     (core, messages)
