--- a/src/net/downstream/forwarding.rs
+++ b/src/net/downstream/forwarding.rs
@@ -53,18 +53,18 @@
         self.submit(request, id_guard, head.closes()).await
     }
 
-    /// Receives the body of a request whose client waits for `patience`. The body must be a JSON
+    /// Receives the body of a request whose client waits for `timeout`. The body must be a JSON
     /// object: a wrong length may cut it short, and a model server would take the rest for another
     /// request.
     async fn receive_body(
         &mut self,
         body: &mut Body,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<ReceivedBody, RequestError> {
         let memory = self.context.body_memory.clone();
         let received = self
             .connection
-            .receive_body(body, MAX_BODY_BYTES, &memory, Some(patience))
+            .receive_body(body, MAX_BODY_BYTES, &memory, Some(timeout))
             .await;
         let reply = match received {
             Ok(received) if is_json_object(&received.bytes) => return Ok(received),
