--- a/src/router/open/listeners.rs
+++ b/src/router/open/listeners.rs
@@ -1,10 +1,17 @@
-//! The addresses that a router listens on, apart from the batch front's.
+//! The addresses that a router listens on, apart from the batch front's, and what all listeners
+//! share.
+
+use std::sync::Arc;
+use std::time::Instant;
 
 use tokio::net::TcpListener;
+use tokio::sync::watch;
 
 use crate::config::{Config, ConfigError};
 use crate::error::RunError;
-use crate::net::handover::Rendezvous;
+use crate::lifecycle::DrainingSince;
+use crate::net::handover::{LimitShares, Rendezvous};
+use crate::net::listener::{Heartbeat, ListenerContext};
 use crate::router::InheritedListener;
 
 /// The addresses of the platform's clients and of operators, and where other processes of the
@@ -61,3 +68,21 @@
         .await
         .map_err(|error| bind_error(address, error))
 }
+
+/// What all listeners share. `drain` and `successor_serving` are set by the lifecycle and by the
+/// handover; `shutdown` turns true when the process shuts down.
+pub(super) fn listener_context(
+    limits: &LimitShares,
+    drain: &watch::Sender<DrainingSince>,
+    successor_serving: &watch::Sender<bool>,
+    shutdown: watch::Receiver<bool>,
+) -> ListenerContext {
+    ListenerContext {
+        connection_limit: limits.client_sockets.clone(),
+        shutting_down: shutdown,
+        shutdown_signal: Default::default(),
+        replaced: successor_serving.subscribe(),
+        drained: drain.subscribe(),
+        heartbeat: Arc::new(Heartbeat::new(Instant::now())),
+    }
+}
--- a/src/router/open/mod.rs
+++ b/src/router/open/mod.rs
@@ -21,13 +21,11 @@
 mod predecessor;
 
 use std::sync::Arc;
-use std::time::Instant;
 
 use tokio::sync::watch;
 
 use super::{AdminFront, PlatformFront, Router, RouterOptions};
 use crate::error::RunError;
-use crate::net::listener::{Heartbeat, ListenerContext};
 use crate::request_ids::RequestIds;
 
 use actors::Actors;
@@ -54,14 +52,8 @@
     let limits = Arc::new(start.limit_shares(&config));
     let drain = watch::Sender::new(None);
     let successor_serving = watch::Sender::new(false);
-    let listener_context = ListenerContext {
-        connection_limit: limits.client_sockets.clone(),
-        shutting_down: shutdown,
-        shutdown_signal: Default::default(),
-        replaced: successor_serving.subscribe(),
-        drained: drain.subscribe(),
-        heartbeat: Arc::new(Heartbeat::new(Instant::now())),
-    };
+    let listener_context =
+        listeners::listener_context(&limits, &drain, &successor_serving, shutdown);
     let inventory = inventory.or_else(|| batch.as_ref().and_then(|b| b.inventory.clone()));
     if inventory.is_some() {
         // the file's changes are noticed here, so the decision module need not poll
