--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -13,16 +13,17 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use tokio::sync::{Mutex, mpsc, watch};
+use tokio::sync::{Mutex, watch};
 use tracing::{info, warn};
 
 use crate::core::{Clock, CoreHandle, MaintenanceAction};
+use crate::ops::exclusions::Exclusion;
 use crate::ops::maintenance_state::MaintenanceState;
 use crate::storage::{AtomicFile, BackgroundWriter, Disk, Version};
 use crate::wire::replica_id;
 
 pub use command::{AdminCommand, AdminError};
-pub use peers::{ForwardedCommand, PeerId};
+pub use peers::{ForwardedCommand, PeerId, RegisteredPeer};
 
 use change::{AppliedChange, ServerCheck};
 use peers::Peers;
@@ -128,22 +129,15 @@
     ) -> Result<AppliedChange, AdminError> {
         let mut maintenance = self.maintenance.lock().await;
         let message = match command {
-            AdminCommand::Disable(name) | AdminCommand::Enable(name) => {
-                let excludes = matches!(command, AdminCommand::Disable(_));
-                let action = match excludes {
-                    true => MaintenanceAction::Exclude,
-                    false => MaintenanceAction::Restore,
-                };
-                let is_known = check == ServerCheck::DoneByPeer;
-                let applied = self
-                    .core
-                    .maintain(replica_id(name), name, action, is_known)
-                    .await;
-                maintenance.exclusions = applied
-                    .map_err(|_| AdminError::ShuttingDown)?
-                    .ok_or(AdminError::UnknownServer)?;
-                let change = if excludes { "left out" } else { "put back" };
-                format!("{name} is {change}\n")
+            AdminCommand::Disable(name) => {
+                let action = MaintenanceAction::Exclude;
+                maintenance.exclusions = self.maintain_server(name, action, check).await?;
+                format!("{name} is left out\n")
+            }
+            AdminCommand::Enable(name) => {
+                let action = MaintenanceAction::Restore;
+                maintenance.exclusions = self.maintain_server(name, action, check).await?;
+                format!("{name} is put back\n")
             }
             _ => {
                 maintenance.is_drained = *command == AdminCommand::Drain;
@@ -157,6 +151,21 @@
         Ok(AppliedChange { message, version })
     }
 
+    /// Has the core exclude or restore a model server; the exclusions that are in force then.
+    async fn maintain_server(
+        &self,
+        name: &str,
+        action: MaintenanceAction,
+        check: ServerCheck,
+    ) -> Result<Vec<Exclusion>, AdminError> {
+        let is_validated = check == ServerCheck::DoneByPeer;
+        self.core
+            .maintain(replica_id(name), name, action, is_validated)
+            .await
+            .map_err(|_| AdminError::ShuttingDown)?
+            .ok_or(AdminError::UnknownServer)
+    }
+
     /// Starts or ends the draining; the text that the operator reads.
     fn set_draining(&self, is_draining: bool) -> &'static str {
         let changed = self.draining.send_if_modified(|since| {
@@ -190,9 +199,9 @@
             .map_err(AdminError::NotPersisted)
     }
 
-    /// Registers another process of the router: the commands for it arrive at the receiver until
+    /// Registers another process of the router, to which commands are forwarded until
     /// [`Lifecycle::unregister_peer`].
-    pub fn register_peer(&self) -> (PeerId, mpsc::Receiver<ForwardedCommand>) {
+    pub fn register_peer(&self) -> RegisteredPeer {
         self.peers.add()
     }
 
--- a/src/lifecycle/peers.rs
+++ b/src/lifecycle/peers.rs
@@ -30,6 +30,14 @@
     pub confirmation: oneshot::Sender<bool>,
 }
 
+/// A peer as it is registered.
+pub struct RegisteredPeer {
+    /// Identifies it.
+    pub id: PeerId,
+    /// The commands for it.
+    pub commands: mpsc::Receiver<ForwardedCommand>,
+}
+
 struct Peer {
     id: PeerId,
     commands: mpsc::Sender<ForwardedCommand>,
@@ -43,12 +51,15 @@
 }
 
 impl Peers {
-    /// Adds a peer; the commands for it arrive at the receiver.
-    pub(super) fn add(&self) -> (PeerId, mpsc::Receiver<ForwardedCommand>) {
-        let (commands, forwarded) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+    /// Adds a peer.
+    pub(super) fn add(&self) -> RegisteredPeer {
+        let (commands_to, commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let id = PeerId(self.next_id.fetch_add(1, Ordering::Relaxed));
-        self.connected().push(Peer { id, commands });
-        (id, forwarded)
+        self.connected().push(Peer {
+            id,
+            commands: commands_to,
+        });
+        RegisteredPeer { id, commands }
     }
 
     /// Removes a peer that has exited.
--- a/src/lifecycle/peers/tests.rs
+++ b/src/lifecycle/peers/tests.rs
@@ -3,7 +3,10 @@
 /// Executes a command on one peer that treats it like this.
 async fn executed(treat: impl FnOnce(ForwardedCommand)) -> bool {
     let peers = Peers::default();
-    let (_, mut forwarded) = peers.add();
+    let RegisteredPeer {
+        commands: mut forwarded,
+        ..
+    } = peers.add();
     let peer = async {
         treat(forwarded.recv().await.unwrap());
         std::future::pending::<()>().await;
@@ -31,7 +34,10 @@
 async fn exited_peer_counts_as_confirmed() {
     assert!(executed(drop).await);
     let peers = Peers::default();
-    let (id, forwarded) = peers.add();
+    let RegisteredPeer {
+        id,
+        commands: forwarded,
+    } = peers.add();
     drop(forwarded);
     assert!(peers.execute_on_all(AdminCommand::Drain).await);
     peers.remove(id);
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,5 +1,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
+use tokio::sync::mpsc;
+
 use super::*;
 use crate::core::Connector;
 use crate::core::actor::{Core, CoreOptions};
