--- a/src/net/handover/maintenance_file.rs
+++ b/src/net/handover/maintenance_file.rs
@@ -36,13 +36,13 @@
 
 /// The maintenance state in the file; the default where there is no file, or neither it nor its copy
 /// can be read.
-pub(super) async fn load(file: &AtomicFile, files: Arc<dyn FileSystem>) -> MaintenanceState {
-    let damaged = match read(file.path(), &files).await {
+pub(super) async fn load(file: &AtomicFile, file_system: Arc<dyn FileSystem>) -> MaintenanceState {
+    let damaged = match read(file.path(), &file_system).await {
         Ok(maintenance) => return maintenance.unwrap_or_default(),
         Err(error) => error,
     };
     let path = file.path().display();
-    match read(file.copy(), &files).await {
+    match read(file.copy(), &file_system).await {
         Ok(Some(maintenance)) => {
             error!(
                 "{path}: {damaged}; starting with the exclusions and drain of its copy, which may be \
@@ -64,12 +64,12 @@
 /// Reads one file; `None` where there is none.
 async fn read(
     path: &Path,
-    files: &Arc<dyn FileSystem>,
+    file_system: &Arc<dyn FileSystem>,
 ) -> Result<Option<MaintenanceState>, LoadError> {
     let mut backoff = Backoff::new(FIRST_RETRY_DELAY, LONGEST_RETRY_DELAY);
     let mut attempts = 1;
     loop {
-        match read_once(path, files).await {
+        match read_once(path, file_system).await {
             Ok(text) => return Ok(Some(MaintenanceState::parse(&text)?)),
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
             Err(error) if attempts == READ_ATTEMPTS => return Err(error.into()),
@@ -79,9 +79,9 @@
     }
 }
 
-async fn read_once(path: &Path, files: &Arc<dyn FileSystem>) -> io::Result<Vec<u8>> {
-    let (path, files) = (path.to_path_buf(), files.clone());
-    tokio::task::spawn_blocking(move || files.read(&path))
+async fn read_once(path: &Path, file_system: &Arc<dyn FileSystem>) -> io::Result<Vec<u8>> {
+    let (path, file_system) = (path.to_path_buf(), file_system.clone());
+    tokio::task::spawn_blocking(move || file_system.read(&path))
         .await
         .unwrap_or_else(|e| Err(io::Error::other(e)))
 }
--- a/src/storage/atomic_file.rs
+++ b/src/storage/atomic_file.rs
@@ -84,29 +84,34 @@
     }
 
     /// Replaces the file. The new content is durable once this returns `Ok`.
-    pub fn write(&self, files: &dyn FileSystem, bytes: &[u8]) -> Result<(), WriteError> {
-        self.replace(files, &self.path, bytes)
+    pub fn write(&self, file_system: &dyn FileSystem, bytes: &[u8]) -> Result<(), WriteError> {
+        self.replace(file_system, &self.path, bytes)
     }
 
     /// Replaces the copy.
-    pub fn write_copy(&self, files: &dyn FileSystem, bytes: &[u8]) -> Result<(), WriteError> {
-        self.replace(files, &self.copy, bytes)
+    pub fn write_copy(&self, file_system: &dyn FileSystem, bytes: &[u8]) -> Result<(), WriteError> {
+        self.replace(file_system, &self.copy, bytes)
     }
 
     /// Replaces a file, and removes the temporary one after a failure.
-    fn replace(&self, files: &dyn FileSystem, path: &Path, bytes: &[u8]) -> Result<(), WriteError> {
-        let replaced = self.run_steps(files, path, bytes);
+    fn replace(
+        &self,
+        file_system: &dyn FileSystem,
+        path: &Path,
+        bytes: &[u8],
+    ) -> Result<(), WriteError> {
+        let replaced = self.run_steps(file_system, path, bytes);
         if replaced.is_err() {
             // frees its space as well, which a full disk needs for the retry; a failure here is
             // followed by a retry of the whole sequence
-            let _ = retry_on_interrupt(|| files.remove(&self.temporary));
+            let _ = retry_on_interrupt(|| file_system.remove(&self.temporary));
         }
         replaced
     }
 
     fn run_steps(
         &self,
-        files: &dyn FileSystem,
+        file_system: &dyn FileSystem,
         path: &Path,
         bytes: &[u8],
     ) -> Result<(), WriteError> {
@@ -117,14 +122,14 @@
                 source,
             }
         };
-        let file = retry_on_interrupt(|| files.create(&self.temporary))
+        let file = retry_on_interrupt(|| file_system.create(&self.temporary))
             .map_err(failed_at(WriteStep::Create))?;
         write_all_at(&*file, bytes, 0).map_err(failed_at(WriteStep::Write))?;
         retry_on_interrupt(|| file.sync()).map_err(failed_at(WriteStep::Sync))?;
-        retry_on_interrupt(|| files.rename(&self.temporary, path))
+        retry_on_interrupt(|| file_system.rename(&self.temporary, path))
             .map_err(failed_at(WriteStep::Rename))?;
         let directory = path.parent().unwrap_or(Path::new("."));
-        retry_on_interrupt(|| files.sync_directory(directory))
+        retry_on_interrupt(|| file_system.sync_directory(directory))
             .map_err(failed_at(WriteStep::SyncDirectory))
     }
 }
--- a/src/storage/background_writer.rs
+++ b/src/storage/background_writer.rs
@@ -79,13 +79,13 @@
 impl BackgroundWriter {
     /// Starts the writing task, which ends when this value is dropped. Nothing is written before
     /// the first submission. Must be called within a runtime.
-    pub fn start(file: AtomicFile, files: Arc<dyn FileSystem>) -> BackgroundWriter {
+    pub fn start(file: AtomicFile, file_system: Arc<dyn FileSystem>) -> BackgroundWriter {
         let path = file.path().to_path_buf();
         let (latest, submitted) = watch::channel(Submission::default());
         let (report, progress) = watch::channel(Progress::default());
         let task = WriterTask {
             file,
-            files,
+            file_system,
             submitted,
             report,
             log: LogLimit::new(),
@@ -129,7 +129,7 @@
 /// The writing task.
 struct WriterTask {
     file: AtomicFile,
-    files: Arc<dyn FileSystem>,
+    file_system: Arc<dyn FileSystem>,
     submitted: watch::Receiver<Submission>,
     report: watch::Sender<Progress>,
     log: LogLimit,
@@ -186,9 +186,9 @@
         submission: &Submission,
         write: fn(&AtomicFile, &dyn FileSystem, &[u8]) -> Result<(), WriteError>,
     ) -> Result<(), Arc<WriteFailure>> {
-        let (file, files) = (self.file.clone(), self.files.clone());
+        let (file, file_system) = (self.file.clone(), self.file_system.clone());
         let bytes = submission.bytes.clone();
-        let written = spawn_blocking(move || write(&file, &*files, &bytes)).await;
+        let written = spawn_blocking(move || write(&file, &*file_system, &bytes)).await;
         written
             .map_err(WriteFailure::from)
             .and_then(|written| written.map_err(WriteFailure::from))
