--- a/src/config/raw.rs
+++ b/src/config/raw.rs
@@ -5,6 +5,12 @@
 
 use crate::net::discovery::endpoint_list::EndpointList;
 
+/// Memory that the process may use where the file names no limit, in MiB.
+const DEFAULT_MEMORY_MIB: usize = 192;
+/// File descriptors that the process may open where the file names no limit: the soft limit that
+/// Linux systems usually set.
+const DEFAULT_DESCRIPTORS: usize = 1024;
+
 /// The platform's JSON file.
 #[derive(Deserialize)]
 pub(super) struct RawConfig {
@@ -30,11 +36,10 @@
 }
 
 impl Default for RawLimits {
-    /// What a process may use where the file names no limits.
     fn default() -> RawLimits {
         RawLimits {
-            memory_mb: 192,
-            sockets: 1024,
+            memory_mb: DEFAULT_MEMORY_MIB,
+            sockets: DEFAULT_DESCRIPTORS,
         }
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -152,11 +152,11 @@
     // before anything opens a descriptor: one that isn't open may get the named number
     let listener = variable("GW_FD").map(|number| inherited::listener(&number));
     let args: Args = argh::from_env();
-    let log_form = match &args.command {
+    let log_format = match &args.command {
         Command::Serve(serve) => serve.log,
         _ => LogFormat::Text,
     };
-    logs::start(log_form, std::env::var("RUST_LOG").ok().as_deref());
+    logs::start(log_format, std::env::var("RUST_LOG").ok().as_deref());
     match run(args.command, listener) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/src/net/upstream/health_check.rs
+++ b/src/net/upstream/health_check.rs
@@ -38,13 +38,13 @@
         let HealthCheckResult { outcome, report } = timeout(HEALTH_CHECK_TIMEOUT, check)
             .await
             .unwrap_or_else(|_| Outcome::Timeout.into());
-        let probed = Message::HealthChecked {
+        let checked = Message::HealthChecked {
             replica: self.replica,
             outcome,
             took: start.elapsed(),
             report,
         };
-        let _ = self.messages.send(probed).await;
+        let _ = self.messages.send(checked).await;
     }
 
     async fn check_health(&self, deadline: Instant) -> HealthCheckResult {
