--- a/src/config/raw.rs
+++ b/src/config/raw.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Values that the router itself reads from the settings, which the decision module parses whole.
+/// Values that the router itself reads from the settings, all of which the decision module parses.
 pub(super) struct RouterSettings<'a>(pub(super) &'a Value);
 
 impl RouterSettings<'_> {
--- a/src/net/handover/message.rs
+++ b/src/net/handover/message.rs
@@ -15,7 +15,7 @@
     /// The successor's first message.
     #[serde(rename = "hello")]
     Hello {
-        /// The form of the messages, [`super::PROTOCOL_VERSION`].
+        /// The version of the messages' form, [`super::PROTOCOL_VERSION`].
         version: u32,
     },
     /// The predecessor's answer to the hello.
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -41,7 +41,7 @@
 pub use predecessor_link::PredecessorLink;
 pub use rendezvous::Rendezvous;
 
-/// The form of the messages. A process of another version is refused.
+/// The version of the messages' form. A process of another version is rejected.
 const PROTOCOL_VERSION: u32 = 1;
 /// How long a process waits for an answer of the other one, and a successor for its share of the
 /// limits. A successor whose predecessor hangs starts from the file, with half of the limits.
--- a/src/net/listener/client_socket.rs
+++ b/src/net/listener/client_socket.rs
@@ -14,7 +14,7 @@
 use crate::net::http::Buffer;
 use crate::net::stream::{Stream, StreamState};
 
-/// The most bytes that one read takes: some requests fit whole, and the array is small enough for
+/// The most bytes that one read takes: some requests fit into it, and the array is small enough for
 /// the stack.
 const MAX_READ_BYTES: usize = 16 << 10;
 
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -8,12 +8,13 @@
 use bytes::{Bytes, BytesMut};
 use tracing::{debug, trace};
 
+use super::Upstream;
 use super::attempt_end::{Completion, Interruption, LastChunk};
+use super::connection::{Connection, FramedHead};
 use super::response_stream::ResponseStream;
-use super::{Connection, Upstream};
 use crate::core::{Attempt, AttemptGate, AttemptId, Message, Payload, StartDecision};
 use crate::interface::Outcome;
-use crate::net::http::{self, Framing, Head};
+use crate::net::http::Head;
 
 /// Capacity reserved for the headers that are added to a request, in bytes.
 const ADDED_HEADERS_BYTES: usize = 96;
@@ -64,7 +65,7 @@
         self.begin(id, gate).await?;
         self.write_request(&connection, &request).await?;
         drop((request, payload));
-        let (head, framing) = self.read_head(&mut connection).await?;
+        let FramedHead { head, framing } = self.read_head(&mut connection).await?;
         if head.status == 200 {
             let stream = ResponseStream::new(self, id, connection, &head, framing)?;
             return stream.forward(&head).await;
@@ -128,14 +129,8 @@
         Ok(())
     }
 
-    async fn read_head(
-        &self,
-        connection: &mut Connection,
-    ) -> Result<(Head, Framing), Interruption> {
-        let Connection { stream, buffer, .. } = connection;
-        let head = http::read_response_head(buffer, stream).await;
-        let framed = head.and_then(|head| head.framing(true).map(|framing| (head, framing)));
-        framed.map_err(|e| {
+    async fn read_head(&self, connection: &mut Connection) -> Result<FramedHead, Interruption> {
+        connection.read_head().await.map_err(|e| {
             debug!("{}: no response: {e}", self.address);
             Interruption::Failed(Outcome::Reset)
         })
--- a/src/net/upstream/health_check.rs
+++ b/src/net/upstream/health_check.rs
@@ -8,10 +8,10 @@
 use tracing::trace;
 
 use super::Upstream;
+use super::connection::FramedHead;
 use super::load_report::parse_load_report;
 use crate::core::Message;
 use crate::interface::{Outcome, Report};
-use crate::net::http;
 
 /// How long a health check may take, connecting included.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
@@ -61,9 +61,7 @@
         if written.is_err() {
             return Outcome::ConnectFailed.into();
         }
-        let head = http::read_response_head(&mut connection.buffer, &mut connection.stream).await;
-        let framed = head.and_then(|head| head.framing(true).map(|framing| (head, framing)));
-        let Ok((head, framing)) = framed else {
+        let Ok(FramedHead { head, framing }) = connection.read_head().await else {
             return Outcome::Reset.into();
         };
         let body = self.drain_body(connection, &head, framing).await;
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -7,6 +7,7 @@
 
 mod attempt;
 mod attempt_end;
+mod connection;
 mod dial;
 mod health_check;
 mod load_report;
@@ -21,9 +22,7 @@
 use tokio::sync::mpsc;
 use tracing::debug;
 
-use super::connection_limit::{ConnectionLimit, ConnectionPermit};
-use super::http::Buffer;
-use super::stream::Stream;
+use super::connection_limit::ConnectionLimit;
 use crate::core::{Connector, Endpoint, Message, Payload, UpstreamCommand};
 use crate::interface::ReplicaId;
 use crate::ops::metrics::Metrics;
@@ -108,13 +107,6 @@
     }
 }
 
-/// A connection to a server, counted by the limit while it lives.
-struct Connection {
-    stream: Stream,
-    buffer: Buffer,
-    _permit: ConnectionPermit,
-}
-
 /// One model server, as its actor, its attempts and its health checks share it.
 struct Upstream {
     replica: ReplicaId,
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -12,8 +12,9 @@
 use tokio::time::{timeout, timeout_at};
 use tracing::debug;
 
+use super::Upstream;
+use super::connection::Connection;
 use super::dial::dial;
-use super::{Connection, Upstream};
 use crate::net::connection_limit::IdleConnection;
 use crate::net::http::{Body, Buffer, Framing, Head};
 use crate::net::stream::{Stream, StreamState};
--- a/src/net/upstream/response_stream.rs
+++ b/src/net/upstream/response_stream.rs
@@ -8,9 +8,10 @@
 use tokio::time::timeout_at;
 use tracing::debug;
 
+use super::Upstream;
 use super::attempt_end::{Completion, Interruption, LastChunk};
+use super::connection::Connection;
 use super::stream_tail::StreamTail;
-use super::{Connection, Upstream};
 use crate::core::{AttemptId, AttemptResult, Chunk, MAX_BUFFERED_CHUNKS, Message};
 use crate::interface::Outcome;
 use crate::net::http::{self, Body, FirstEventDetector, Framing, Head, HttpError};
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -6,10 +6,11 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
+use super::connection::Connection;
 use super::load_report::parse_load_report;
 use super::pool::watch_idle;
 use super::stream_tail::StreamTail;
-use super::{Connection, Options, Upstream};
+use super::{Options, Upstream};
 use crate::interface::ReplicaId;
 use crate::net::connection_limit::ConnectionLimit;
 use crate::net::stream::Stream;
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,6 +1,5 @@
 //! The router: puts the core, discovery, the handover and the fronts together (`open`), serves
-//! until the process shuts down (here), and reads its configuration anew (`reload`). What the parts
-//! do is their own business.
+//! until the process shuts down (here), and reads its configuration anew (`reload`).
 
 mod open;
 mod reload;
--- a/src/router/reload.rs
+++ b/src/router/reload.rs
@@ -21,7 +21,7 @@
 }
 
 impl Reloader {
-    /// Reads the files anew and checks each whole. One with errors is logged and changes nothing.
+    /// Reads the files anew and checks each completely. One with errors is logged and changes nothing.
     /// Requests in flight are not affected.
     pub async fn reload(&self) {
         if let Some(edge) = &self.edge
--- a/src/storage/atomic_file.rs
+++ b/src/storage/atomic_file.rs
@@ -51,7 +51,7 @@
     pub source: io::Error,
 }
 
-/// A file that is replaced as a whole, and a copy beside it for when the file can't be read.
+/// A file that is replaced in one step, and a copy beside it for when the file can't be read.
 #[derive(Clone, Debug)]
 pub struct AtomicFile {
     path: PathBuf,
--- a/src/storage/file_system.rs
+++ b/src/storage/file_system.rs
@@ -20,7 +20,7 @@
     fn sync_directory(&self, directory: &Path) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, path: &Path) -> io::Result<()>;
-    /// Reads a whole file.
+    /// Reads all of a file.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 }
 
