--- a/src/router/open/actors.rs
+++ b/src/router/open/actors.rs
@@ -56,7 +56,10 @@
     ) -> Result<Actors, RunError> {
         let server_sockets = limits.server_sockets.clone();
         let (discovery, commands) = mpsc::channel(DISCOVERY_QUEUE_LENGTH);
-        let (core, core_messages) = start_core(
+        let StartedCore {
+            handle: core,
+            messages: core_messages,
+        } = start_core(
             config,
             server_sockets.clone(),
             discovery.clone(),
@@ -65,9 +68,9 @@
         let lifecycle = start.start_lifecycle(core.clone(), drain);
         let (edge, messages) = match edge_file {
             Some(edge_file) => {
-                let (edge, messages) =
+                let started =
                     edge_file.start(config, core.clone(), core_messages, server_sockets)?;
-                (Some(edge), messages)
+                (Some(started.edge), started.messages)
             }
             None => (None, core_messages),
         };
@@ -104,13 +107,21 @@
     }
 }
 
-/// Starts the core's actor: the way in for fronts and commands, and its message queue.
+/// The running core.
+struct StartedCore {
+    /// The way in for fronts and commands.
+    handle: CoreHandle,
+    /// Its message queue.
+    messages: mpsc::Sender<Message>,
+}
+
+/// Starts the core's actor with the connections to model servers.
 fn start_core(
     config: &Config,
     server_sockets: ConnectionLimit,
     discovery: mpsc::Sender<DiscoveryCommand>,
     maintenance: &MaintenanceState,
-) -> (CoreHandle, mpsc::Sender<Message>) {
+) -> StartedCore {
     let metrics = Arc::new(Metrics::new(&config.classes));
     let connector = upstream::TcpConnector {
         options: upstream::Options {
@@ -125,7 +136,7 @@
     // connections send their messages to the core, which is started with their connector
     let connector_messages = connector.messages.clone();
     let exclusions = maintenance.exclusions.iter();
-    let (core, messages) = Core::start(CoreOptions {
+    let (handle, messages) = Core::start(CoreOptions {
         settings: config.settings.clone(),
         seed: config.seed,
         max_requests_in_flight: config.max_requests,
@@ -138,5 +149,5 @@
         metrics,
     });
     let _ = connector_messages.set(messages.clone());
-    (core, messages)
+    StartedCore { handle, messages }
 }
--- a/src/router/open/edge.rs
+++ b/src/router/open/edge.rs
@@ -21,6 +21,15 @@
     numbers: ModelNumbers,
 }
 
+/// The running edge.
+pub(super) struct StartedEdge {
+    /// The edge.
+    pub(super) edge: Arc<Edge>,
+    /// Where endpoint lists go, so that the edge asks the model servers for their models before the
+    /// lists reach the core.
+    pub(super) messages: mpsc::Sender<Message>,
+}
+
 impl EdgeFile {
     /// Reads the file, where there is one, and adds its tenants to the settings. `has_batch`: the
     /// batch front is on, whose address the edge shares.
@@ -48,15 +57,14 @@
         }))
     }
 
-    /// Starts the edge. Endpoint lists go to the returned queue, so that the edge asks the model
-    /// servers for their models before the lists reach the core at `core_messages`.
+    /// Starts the edge in front of the core, whose message queue is `core_messages`.
     pub(super) fn start(
         self,
         config: &Config,
         core: CoreHandle,
         core_messages: mpsc::Sender<Message>,
         server_sockets: ConnectionLimit,
-    ) -> Result<(Arc<Edge>, mpsc::Sender<Message>), ConfigError> {
+    ) -> Result<StartedEdge, ConfigError> {
         info!("{}: {}", self.path.display(), self.book.summary());
         let edge = Edge::new(self.path, self.book, self.numbers, config, core)?;
         let edge = Arc::new(edge);
@@ -67,7 +75,10 @@
             core_messages,
             server_sockets,
         ));
-        Ok((edge, messages_to))
+        Ok(StartedEdge {
+            edge,
+            messages: messages_to,
+        })
     }
 }
 
--- a/src/router/open/listeners.rs
+++ b/src/router/open/listeners.rs
@@ -33,7 +33,10 @@
         has_batch: bool,
     ) -> Result<Listeners, RunError> {
         let (platform, rendezvous) = match (inherited, &config.listen) {
-            (Some(inherited), _) => adopt(inherited)?,
+            (Some(inherited), _) => {
+                let rendezvous = find_rendezvous(&inherited)?;
+                (Some(adopt(inherited)?), rendezvous)
+            }
             (None, Some(address)) => (Some(bind(address, RunError::listen).await?), None),
             (None, None) if has_batch => (None, None),
             (None, None) => return Err(ConfigError::Missing("GW_LISTEN").into()),
@@ -50,14 +53,15 @@
     }
 }
 
-/// Uses the socket and the folder that the platform passes to the process.
-fn adopt(
-    inherited: InheritedListener,
-) -> Result<(Option<TcpListener>, Option<Rendezvous>), RunError> {
+/// The rendezvous in the folder that the platform passes with the socket, if it passes one.
+fn find_rendezvous(inherited: &InheritedListener) -> Result<Option<Rendezvous>, RunError> {
     let rendezvous = inherited.folder.as_deref().map(Rendezvous::new);
-    let rendezvous = rendezvous.transpose().map_err(RunError::System)?;
-    let listener = TcpListener::from_std(inherited.listener).map_err(RunError::System)?;
-    Ok((Some(listener), rendezvous))
+    rendezvous.transpose().map_err(RunError::System)
+}
+
+/// Uses the socket that the platform passes to the process.
+fn adopt(inherited: InheritedListener) -> Result<TcpListener, RunError> {
+    TcpListener::from_std(inherited.listener).map_err(RunError::System)
 }
 
 async fn bind(
