--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -24,9 +24,9 @@
     /// An inventory can't be used.
     #[error("{}: {source}", path.display())]
     Inventory {
-        /// The file.
+        /// The inventory file.
         path: PathBuf,
-        /// Why.
+        /// Why it can't be used.
         source: InventoryError,
     },
     /// The id for a new key is not allowed.
@@ -55,7 +55,7 @@
     Budgets {
         /// The router's address.
         address: String,
-        /// Why.
+        /// Why the request failed.
         source: BudgetsError,
     },
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -10,7 +10,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The error of the read.
         source: std::io::Error,
     },
     /// A file has another form than it should have, or a value that is not allowed.
@@ -18,7 +18,7 @@
     Malformed {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The first problem in the file.
         problem: String,
     },
     /// A value is missing.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -15,7 +15,7 @@
 pub use error::ConfigError;
 use raw::{RawConfig, RouterSettings};
 
-/// What a router without the platform's configuration uses: the two classes of the batch and edge
+/// The configuration of a router without the platform's file: the two classes of the batch and edge
 /// service, for model servers that come from an inventory.
 const STANDALONE: &str = include_str!("standalone.json");
 /// The time for a connection to a model server where the settings name none that is allowed, in
@@ -30,7 +30,7 @@
 /// The configuration of a router.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The router's name, as logs show it.
     pub name: String,
     /// The address for the platform's clients; `None` where that front is off.
     pub listen: Option<String>,
--- a/src/inventory/error.rs
+++ b/src/inventory/error.rs
@@ -21,13 +21,13 @@
     Line {
         /// The line's number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The problem in the line.
         #[source]
         error: LineError,
     },
 }
 
-/// What is wrong with a line of an inventory.
+/// A problem in a line of an inventory.
 #[derive(Debug, Error)]
 pub enum LineError {
     /// The file is no CSV.
@@ -76,13 +76,13 @@
     Host {
         /// The host's name.
         host: String,
-        /// What is wrong with it.
+        /// The problem in the host's variables.
         #[source]
         error: HostError,
     },
 }
 
-/// What is wrong with a variable of a host.
+/// A problem in a variable of a host.
 #[derive(Debug, Error)]
 pub enum HostError {
     /// The address contains characters that no address has, or is empty.
@@ -102,7 +102,7 @@
     InvalidNumber {
         /// The variable's name.
         variable: &'static str,
-        /// Its value.
+        /// The variable's value.
         text: String,
         /// The largest valid value.
         max: f64,
--- a/src/inventory/host.rs
+++ b/src/inventory/host.rs
@@ -21,11 +21,11 @@
 
 /// One host of an inventory.
 pub(super) struct Host<'a> {
-    /// Its name, by which routers identify the model server.
+    /// The host's name, by which routers identify the model server.
     pub(super) name: &'a str,
     /// The line that lists it, from 1.
     pub(super) line: usize,
-    /// Its own variables and the inherited ones.
+    /// The host's own variables and the inherited ones.
     pub(super) variables: &'a Variables,
 }
 
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -5,7 +5,7 @@
 //! - [`csv_table`]: CSV with a header;
 //! - [`yaml_groups`]: YAML groups with inherited variables, as in Ansible's inventories.
 //!
-//! [`host`] builds an endpoint from the variables of a host, whichever format they come from;
+//! `host` builds an endpoint from the variables of a host, whichever format they come from;
 //! [`watcher`] reloads the file when it changes and reports it to the core.
 
 pub mod csv_table;
--- a/src/inventory/watcher.rs
+++ b/src/inventory/watcher.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 struct CoreStopped;
 
-/// What shows that a file has changed.
+/// A version of a file: two that differ show that the file has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FileVersion {
     /// There is no file, or none that can be seen.
--- a/src/inventory/yaml_groups/group_tree.rs
+++ b/src/inventory/yaml_groups/group_tree.rs
@@ -39,11 +39,11 @@
 
 /// A host with its own and its inherited variables.
 pub(super) struct ResolvedHost<'a> {
-    /// Its name.
+    /// The host's name.
     pub(super) name: &'a str,
     /// The line that lists it first, from 1.
     pub(super) line: usize,
-    /// Its variables.
+    /// The host's variables, where the own ones override the inherited ones.
     pub(super) variables: Variables,
 }
 
--- a/src/lifecycle/change.rs
+++ b/src/lifecycle/change.rs
@@ -13,7 +13,7 @@
 
 /// A change of the maintenance state that is in effect in this process.
 pub(super) struct AppliedChange {
-    /// What the operator reads.
+    /// The text that the operator reads.
     pub(super) message: String,
     /// The version to be persisted; `None` where nothing is.
     pub(super) version: Option<Version>,
--- a/src/net/accept_errors.rs
+++ b/src/net/accept_errors.rs
@@ -22,7 +22,7 @@
 /// lasting failure.
 const MAX_IMMEDIATE_RETRIES: u32 = 16;
 
-/// What an error of `accept` means for the connections in the accept queue.
+/// Kinds of errors of `accept`, by their meaning for the connections in the accept queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AcceptErrorKind {
     /// A queued connection has failed, or a signal interrupted the call: the next call may succeed
@@ -32,7 +32,7 @@
     ResourceShortage,
 }
 
-/// What an error of `accept` means. Linux reports the pending errors of a new connection as errors
+/// The kind of an error of `accept`. Linux reports the pending errors of a new connection as errors
 /// of `accept`.
 fn accept_error_kind(error: &io::Error) -> AcceptErrorKind {
     match Errno::from_io_error(error) {
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -37,7 +37,7 @@
     Timeout,
 }
 
-/// What a poll asks for.
+/// The part of the list that a poll requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Query {
     /// The complete list, at once.
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 struct CoreStopped;
 
-/// What the watcher does next.
+/// The next step of the watcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NextStep {
     Poll,
--- a/src/net/discovery/watcher/options.rs
+++ b/src/net/discovery/watcher/options.rs
@@ -1,4 +1,4 @@
-//! What the watcher of the endpoint list is started with.
+//! The options of the watcher of the endpoint list.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 /// together don't repeat them together.
 pub const MAX_TIMEOUT_RETRY_DELAY: Duration = Duration::from_millis(750);
 
-/// What the watcher is started with.
+/// The options of the watcher.
 pub struct Options {
     /// Discovery's address.
     pub address: String,
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -27,7 +27,7 @@
     request: Duration::from_millis(2500),
 };
 
-/// What all connections of the platform's clients share.
+/// State that all connections of the platform's clients share.
 pub struct DownstreamContext {
     /// Submits requests to the core.
     pub core: CoreHandle,
@@ -80,28 +80,28 @@
     connection: ClientConnection,
 }
 
-/// What happens to a connection after a request.
+/// The next step of a connection after a request.
 enum NextStep {
-    /// It waits for the next request.
+    /// Wait for the next request.
     KeepAlive,
-    /// It is closed.
+    /// Close the connection.
     Close,
-    /// It is dropped, as its client has disconnected.
+    /// Drop the connection, as its client has disconnected.
     Drop,
 }
 
 /// Why a request was not answered.
 enum RequestError {
-    /// It was rejected before it was read completely.
+    /// The request was rejected before it was read completely.
     Rejected(Rejection),
-    /// It could not be read, or its answer not be written.
+    /// The request could not be read, or its answer not be written.
     Http(HttpError),
 }
 
 /// The answer to a rejected request. The connection is closed after it.
 struct Rejection {
     reply: Reply,
-    /// What the client may still be writing of the request.
+    /// The rest of the request, which the client may still be writing.
     remainder: UnreadRemainder,
 }
 
--- a/src/net/downstream/reply.rs
+++ b/src/net/downstream/reply.rs
@@ -68,12 +68,12 @@
 
 /// How relaying a stream ended.
 pub(super) enum RelayEnd {
-    /// It was written completely.
+    /// The stream was written completely.
     Complete {
         /// Whether the connection can be used again.
         keep_alive: bool,
     },
-    /// It broke off.
+    /// The stream broke off.
     Broken,
     /// The client has disconnected.
     Disconnected,
--- a/src/net/downstream/request_head.rs
+++ b/src/net/downstream/request_head.rs
@@ -14,7 +14,7 @@
 /// are far shorter.
 const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
-/// What the head of a request says.
+/// The contents of a request's head.
 #[derive(Debug)]
 pub(super) struct RequestHead<'a> {
     pub(super) attributes: RequestAttributes,
--- a/src/net/handover/limit_shares.rs
+++ b/src/net/handover/limit_shares.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What this process owns.
+    /// The amounts that this process owns.
     pub(super) fn owned(&self) -> ResourceAmounts {
         *self.lock_owned()
     }
--- a/src/net/handover/maintenance_file.rs
+++ b/src/net/handover/maintenance_file.rs
@@ -26,10 +26,10 @@
 /// Why a file gives no maintenance state.
 #[derive(Debug, thiserror::Error)]
 enum LoadError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// It can be read, and is damaged or of another version.
+    /// The file can be read, and is damaged or of another version.
     #[error(transparent)]
     Unusable(#[from] ParseError),
 }
--- a/src/net/handover/predecessor_link.rs
+++ b/src/net/handover/predecessor_link.rs
@@ -25,9 +25,9 @@
 /// A connection to the predecessor, and what it answered.
 pub struct PredecessorLink {
     pub(super) connection: Connection,
-    /// Its maintenance state; `None` where it doesn't answer in time.
+    /// The predecessor's maintenance state; `None` where it doesn't answer in time.
     pub maintenance: Option<MaintenanceState>,
-    /// Its endpoint list.
+    /// The predecessor's endpoint list.
     pub endpoints: Option<EndpointList>,
 }
 
--- a/src/net/handover/session.rs
+++ b/src/net/handover/session.rs
@@ -13,13 +13,13 @@
 /// Which side of a replacement the other process is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Peer {
-    /// It was there before this process.
+    /// The other process was there before this one.
     Predecessor,
-    /// It replaces this process.
+    /// The other process replaces this one.
     Successor,
 }
 
-/// What a received message causes.
+/// The effect of a received message.
 #[derive(Debug)]
 pub(super) enum Effect {
     /// Nothing: it was an answer, or is not for this side.
--- a/src/net/http/body.rs
+++ b/src/net/http/body.rs
@@ -7,7 +7,7 @@
 
 use super::{Buffer, Framing, HttpError};
 
-/// What comes next in a body.
+/// The state of the decoder: the element of the body that comes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// The rest of a body with a length.
@@ -29,7 +29,7 @@
     Complete,
 }
 
-/// What a step of the decoder came to.
+/// The result of a step of the decoder.
 enum Decoded {
     Bytes(Bytes),
     /// Framing was taken off the buffer; there may be more.
@@ -77,12 +77,13 @@
         !buffer.is_empty() || !is_between_chunks
     }
 
-    /// Whether it was decoded to its end.
+    /// Whether the body was decoded to its end.
     pub fn is_complete(&self) -> bool {
         self.state == State::Complete
     }
 
-    /// The next bytes of it that are in the buffer, without framing; none until more has been read.
+    /// The next bytes of the body that are in the buffer, without framing; none until more has been
+    /// read.
     pub fn take_buffered(&mut self, buffer: &mut Buffer) -> Result<Option<Bytes>, HttpError> {
         loop {
             match self.decode(buffer)? {
@@ -144,7 +145,7 @@
         next.len().saturating_sub(behind)
     }
 
-    /// The next bytes of it, read as needed; none at its end. Cancel safe.
+    /// The next bytes of the body, read as needed; none at its end. Cancel safe.
     pub async fn next(
         &mut self,
         buffer: &mut Buffer,
@@ -166,7 +167,7 @@
         }
     }
 
-    /// All of it, up to a limit.
+    /// The complete body, up to `max_bytes`; a longer one is an error.
     pub async fn read_to_end(
         &mut self,
         buffer: &mut Buffer,
--- a/src/net/http/buffer.rs
+++ b/src/net/http/buffer.rs
@@ -18,12 +18,12 @@
 }
 
 impl Buffer {
-    /// What has been read from the connection and not taken.
+    /// The bytes that have been read from the connection and not taken.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Whether nothing is left in it.
+    /// Whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
--- a/src/net/http/chunks.rs
+++ b/src/net/http/chunks.rs
@@ -2,7 +2,7 @@
 
 use bytes::{BufMut, BytesMut};
 
-/// What follows the last chunk of a body.
+/// The empty chunk and the empty trailer that end a body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 /// Adds a chunk to what is written next. `bytes` must not be empty: an empty chunk ends a body.
--- a/src/net/http/events.rs
+++ b/src/net/http/events.rs
@@ -1,7 +1,7 @@
 //! The first complete event of an event stream (`text/event-stream`). Pure: bytes in, a verdict
 //! out.
 
-/// What the current line is, as far as it has arrived.
+/// The kind of the current line, as far as it has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Line {
     /// The first bytes of the name `data`, and nothing else.
--- a/src/net/listener/body.rs
+++ b/src/net/listener/body.rs
@@ -16,9 +16,9 @@
 
 /// A request's body.
 pub struct ReceivedBody {
-    /// Its bytes.
+    /// The bytes of the body.
     pub bytes: Bytes,
-    /// Its share of the memory for bodies, returned when dropped.
+    /// The memory that is reserved for the body, returned when dropped.
     pub memory: Option<OwnedSemaphorePermit>,
     /// The earliest instant at which its last byte may have arrived; the request's deadline counts
     /// from then.
--- a/src/net/listener/client_socket.rs
+++ b/src/net/listener/client_socket.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What a read would find now, according to the system.
+    /// The state of the stream, according to the system: what a read would find now.
     pub fn state(&self) -> StreamState {
         self.stream.state()
     }
--- a/src/net/listener/closing.rs
+++ b/src/net/listener/closing.rs
@@ -9,7 +9,7 @@
 use crate::net::http::{Body, Buffer};
 use crate::net::stream::StreamState;
 
-/// What a client may still be writing of a request that has been answered.
+/// The rest of a request that has been answered, which the client may still be writing.
 #[derive(Clone, Copy, Debug)]
 pub enum UnreadRemainder {
     /// Nothing: the request was read completely.
--- a/src/net/listener/connection_state.rs
+++ b/src/net/listener/connection_state.rs
@@ -27,15 +27,15 @@
 /// How a request finishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Its answer was written completely.
+    /// The answer was written completely.
     Answered,
-    /// Its client has disconnected, or accepts no bytes any more.
+    /// The client has disconnected, or accepts no bytes any more.
     ClientDisconnected,
-    /// Part of its answer was written, and the rest is missing.
+    /// Part of the answer was written, and the rest is missing.
     StreamBroken,
 }
 
-/// What happens to a connection.
+/// An event of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEvent {
     /// The first byte of a request has arrived.
--- a/src/net/listener/context.rs
+++ b/src/net/listener/context.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// What all listeners of a process share.
+/// State that all listeners of a process share.
 #[derive(Clone)]
 pub struct ListenerContext {
     /// The limit on clients' connections.
--- a/src/net/stream/mod.rs
+++ b/src/net/stream/mod.rs
@@ -31,7 +31,7 @@
 /// The most that one read takes, in bytes. Bounds how much memory is cleared ahead of it.
 const MAX_READ_BYTES: usize = 64 << 10;
 
-/// What a read of a stream would find.
+/// The state of a stream: what a read would find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamState {
     /// Nothing has arrived.
@@ -55,7 +55,7 @@
         Stream { socket }
     }
 
-    /// What a read would find now. Makes a system call: the runtime's view is as old as its last
+    /// The state of the stream now. Makes a system call: the runtime's view is as old as its last
     /// poll for events, and a process that was suspended or busy may have sockets whose peers
     /// closed long ago. Consumes nothing.
     pub fn state(&self) -> StreamState {
--- a/src/net/stream/socket.rs
+++ b/src/net/stream/socket.rs
@@ -12,7 +12,7 @@
 use tokio::io::Interest;
 use tokio::net::{TcpStream, UnixStream};
 
-/// What [`PollFlags`] show of a peer that has closed or reset its side.
+/// The [`PollFlags`] that show that the peer has closed or reset its side.
 const HANGUP: PollFlags = PollFlags::RDHUP.union(PollFlags::HUP).union(PollFlags::ERR);
 
 /// A connected socket: single system calls, each of which may be interrupted or short, and the
--- a/src/net/upstream/load_report.rs
+++ b/src/net/upstream/load_report.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::Report;
 
-/// What precedes the report where it comes as a header line.
+/// The name that precedes the report where it comes as a header line.
 const HEADER: &str = "Endpoint-Load-Metrics:";
 
 /// Parses a load report; its values are in the order of `names`, as in the settings. None where the
--- a/src/net/upstream/response_stream.rs
+++ b/src/net/upstream/response_stream.rs
@@ -177,7 +177,7 @@
 enum PreludeState {
     Incomplete,
     Complete,
-    /// It exceeds its limit without an event.
+    /// The prelude exceeds its limit without an event.
     TooLong,
 }
 
--- a/src/ops/exclusions.rs
+++ b/src/ops/exclusions.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Whether it still changes what the policy sees.
-    fn matters(&self, now: Timestamp) -> bool {
+    /// Whether the exclusion still changes what the policy sees.
+    fn is_in_effect(&self, now: Timestamp) -> bool {
         self.restored_at
             .is_none_or(|restored| now - Timestamp::from_micros(restored) < RESTORATION_MEMORY)
     }
@@ -90,7 +90,7 @@
             self.apply_to(entry);
         }
         self.exclusions
-            .retain(|_, exclusion| exclusion.matters(now));
+            .retain(|_, exclusion| exclusion.is_in_effect(now));
     }
 
     /// Changes an entry into what the policy is to see.
@@ -109,7 +109,7 @@
         }
     }
 
-    /// What the policy is to see of a server now; `None` if the list doesn't name it.
+    /// A server's entry as the policy is to see it now; `None` if the list doesn't name the server.
     fn effective_entry(&self, replica: ReplicaId) -> Option<Entry> {
         let mut entry = self.listed.get(&replica)?.clone();
         self.apply_to(&mut entry);
@@ -121,7 +121,7 @@
         self.ever_listed.get(&replica).is_some() || self.exclusions.contains_key(&replica)
     }
 
-    /// Excludes a server; what the policy is to see of it now, if it is listed.
+    /// Excludes a server; its entry as the policy is to see it now, if the server is listed.
     pub fn exclude(&mut self, replica: ReplicaId, name: &str, now: Timestamp) -> Option<Entry> {
         let exclusion = self.exclusions.entry(replica).or_insert_with(|| Exclusion {
             name: name.to_string(),
@@ -134,7 +134,7 @@
         self.effective_entry(replica)
     }
 
-    /// Restores a server; what the policy is to see of it now, if it is listed.
+    /// Restores a server; its entry as the policy is to see it now, if the server is listed.
     pub fn restore(&mut self, replica: ReplicaId, now: Timestamp) -> Option<Entry> {
         let exclusion = self.exclusions.get_mut(&replica)?;
         let start_is_listed = self
--- a/src/ops/maintenance_state.rs
+++ b/src/ops/maintenance_state.rs
@@ -10,7 +10,7 @@
 /// The version of the file's format.
 const FORMAT_VERSION: u32 = 1;
 
-/// What operators have asked for and is in effect.
+/// The exclusions and the drain that operators have commanded and that are in effect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MaintenanceState {
@@ -25,10 +25,10 @@
 /// Why a stored text can't be used.
 #[derive(Debug, Error)]
 pub enum ParseError {
-    /// It is truncated, or not a maintenance state.
+    /// The text is truncated, or not a maintenance state.
     #[error("truncated or malformed: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// It has another format version.
+    /// The text has another format version.
     #[error("format version {0}, and this program reads {FORMAT_VERSION}")]
     UnsupportedVersion(u64),
 }
--- a/src/ops/metrics.rs
+++ b/src/ops/metrics.rs
@@ -11,9 +11,9 @@
 pub enum RequestOutcome {
     /// The response was completely forwarded.
     Completed,
-    /// It was rejected: a retry is safe.
+    /// The request was rejected: a retry is safe.
     Rejected,
-    /// It failed, or its response was cut short.
+    /// The request failed, or its response was cut short.
     Failed,
     /// The client disconnected first.
     ClientDisconnected,
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -23,9 +23,9 @@
 pub use reload::Reloader;
 pub use run::run;
 
-/// What a router is started with.
+/// The options of a router.
 pub struct RouterOptions {
-    /// Its configuration.
+    /// The router's configuration.
     pub config: Config,
     /// The batch front; `None` where it is off.
     pub batch: Option<batch::Options>,
--- a/src/router/open/actors.rs
+++ b/src/router/open/actors.rs
@@ -111,7 +111,7 @@
 struct StartedCore {
     /// The way in for fronts and commands.
     handle: CoreHandle,
-    /// Its message queue.
+    /// The core's message queue.
     messages: mpsc::Sender<Message>,
 }
 
--- a/src/router/open/endpoints.rs
+++ b/src/router/open/endpoints.rs
@@ -13,7 +13,7 @@
 use crate::net::discovery::endpoint_list::EndpointList;
 use crate::net::discovery::watcher;
 
-/// What a source of the endpoint list is connected to.
+/// The channels of a source of the endpoint list.
 pub(super) struct EndpointChannels {
     /// Commands of the core and of the handover.
     pub(super) commands: mpsc::Receiver<DiscoveryCommand>,
--- a/src/router/open/predecessor.rs
+++ b/src/router/open/predecessor.rs
@@ -20,7 +20,7 @@
 /// each of two processes during a handover. With less no large body would ever be accepted.
 const MIN_BODY_MEMORY_KIB: usize = 2 * (MAX_BODY_BYTES >> 10);
 
-/// What a router starts with.
+/// The state with which a router starts.
 pub(super) struct StartState {
     /// Where other processes of the router find this one; `None` where it neither replaces another
     /// one nor is replaced.
--- a/src/storage/atomic_file.rs
+++ b/src/storage/atomic_file.rs
@@ -47,7 +47,7 @@
     pub path: PathBuf,
     /// The call that failed.
     pub step: WriteStep,
-    /// Its error.
+    /// The error of that call.
     pub source: io::Error,
 }
 
