--- a/src/inventory/host.rs
+++ b/src/inventory/host.rs
@@ -4,9 +4,8 @@
 use super::variables::{Variable, Variables};
 use super::{InventoryError, MAX_MODELS};
 use crate::core::Endpoint;
-use crate::interface::{Entry, State, Timestamp};
+use crate::interface::{EndpointState, ReplicaEntry, ReplicaId, Timestamp};
 use crate::net::discovery::endpoint_list::zone_number;
-use crate::wire::replica_id;
 
 /// The port of a host whose address and variables give none.
 const DEFAULT_PORT: &str = "9000";
@@ -38,14 +37,14 @@
         let cell = self.number(&["cell"], MAX_CELL)?.unwrap_or(0.0) as u32;
         let start_ms = self.number(&["up_since_ms"], MAX_START_MS)?;
         let size = self.number(&["size", "weight"], MAX_SIZE)?;
-        let entry = Entry {
-            replica: replica_id(self.name),
+        let entry = ReplicaEntry {
+            replica: ReplicaId::from_name(self.name),
             zone,
             cell,
             state,
-            started: Timestamp::from_millis(start_ms.unwrap_or(0.0) as u64),
-            rating: size.unwrap_or(DEFAULT_SIZE),
-            ..Entry::default()
+            started_at: Timestamp::from_millis(start_ms.unwrap_or(0.0) as u64),
+            weight: size.unwrap_or(DEFAULT_SIZE),
+            ..ReplicaEntry::default()
         };
         Ok(Endpoint {
             name: self.name.to_string(),
@@ -82,14 +81,14 @@
             .map_or(DEFAULT_PORT, |variable| &variable.text)
     }
 
-    fn state(&self) -> Result<State, InventoryError> {
+    fn state(&self) -> Result<EndpointState, InventoryError> {
         let Some(variable) = self.variables.get(&["state", "phase"]) else {
-            return Ok(State::InService);
+            return Ok(EndpointState::InService);
         };
         let state = variable.text.to_ascii_lowercase();
         match state.as_str() {
-            "serving" | "in_service" | "present" | "up" => Ok(State::InService),
-            "draining" | "terminating" | "drain" => Ok(State::Terminating),
+            "serving" | "in_service" | "present" | "up" => Ok(EndpointState::InService),
+            "draining" | "terminating" | "drain" => Ok(EndpointState::Draining),
             _ => Err(self.error(HostError::UnknownState(state), variable.line)),
         }
     }
--- a/src/inventory/tests.rs
+++ b/src/inventory/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::interface::State;
+use crate::interface::EndpointState;
 
 const YAML: &str = "\
 all:
@@ -30,7 +30,7 @@
             h.name.clone(),
             h.address.clone(),
             h.entry.zone,
-            h.entry.rating,
+            h.entry.weight,
         )
     };
     let rows: Vec<_> = hosts.iter().map(row).collect();
@@ -38,7 +38,7 @@
     assert_eq!(rows[1].0, "fast-02");
     assert_eq!(rows[2], ("lone".into(), "127.0.0.9:9100".into(), 0, 1.0));
     assert_eq!(rows[3], ("slow".into(), "127.0.0.3:9300".into(), 1, 1.0));
-    assert_eq!(hosts[3].entry.state, State::Terminating);
+    assert_eq!(hosts[3].entry.state, EndpointState::Draining);
 }
 
 #[test]
@@ -46,7 +46,7 @@
     let csv = "name,address,zone,size,owner\nlone,127.0.0.9:9100,cleveland,1,ops\n# away\nslow,127.0.0.3:9300,toledo,,\n";
     let hosts = csv_table::parse(csv, &zones()).unwrap();
     assert_eq!(hosts[0], yaml_groups::parse(YAML, &zones()).unwrap()[2]);
-    assert_eq!((hosts[1].entry.zone, hosts[1].entry.rating), (1, 1.0));
+    assert_eq!((hosts[1].entry.zone, hosts[1].entry.weight), (1, 1.0));
 }
 
 #[test]
--- a/src/inventory/watcher.rs
+++ b/src/inventory/watcher.rs
@@ -10,7 +10,7 @@
 use tracing::{info, warn};
 
 use crate::core::{DiscoveryCommand, Endpoint, EndpointsUpdate, Message};
-use crate::interface::ListKind;
+use crate::interface::EndpointListKind;
 
 /// How often the file is checked for changes. One `stat` a check, and an operator's edit counts
 /// within half a second.
@@ -107,8 +107,8 @@
     /// Sends the last valid list to the core, or that there is none.
     async fn report(&self) -> Result<(), CoreStopped> {
         let kind = match self.hosts {
-            Some(_) => ListKind::Complete,
-            None => ListKind::Error,
+            Some(_) => EndpointListKind::Complete,
+            None => EndpointListKind::Error,
         };
         let update = EndpointsUpdate {
             kind,
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -17,10 +17,10 @@
 use tracing::{info, warn};
 
 use crate::core::{Clock, CoreHandle, MaintenanceAction};
+use crate::interface::ReplicaId;
 use crate::ops::exclusions::Exclusion;
 use crate::ops::maintenance_state::MaintenanceState;
 use crate::storage::{AtomicFile, BackgroundWriter, Disk, Version};
-use crate::wire::replica_id;
 
 pub use command::{AdminCommand, AdminError};
 pub use peers::{ForwardedCommand, PeerId, RegisteredPeer};
@@ -160,7 +160,7 @@
     ) -> Result<Vec<Exclusion>, AdminError> {
         let is_validated = check == ServerCheck::DoneByPeer;
         self.core
-            .maintain(replica_id(name), name, action, is_validated)
+            .maintain(ReplicaId::from_name(name), name, action, is_validated)
             .await
             .map_err(|_| AdminError::ShuttingDown)?
             .ok_or(AdminError::UnknownServer)
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -132,7 +132,7 @@
     async fn read_head(&self, connection: &mut Connection) -> Result<FramedHead, Interruption> {
         connection.read_head().await.map_err(|e| {
             debug!("{}: no response: {e}", self.address);
-            Interruption::Failed(Outcome::Reset)
+            Interruption::Failed(Outcome::ConnectionReset)
         })
     }
 }
@@ -140,7 +140,7 @@
 /// The outcome of a response other than 200: whether the server rejected the request unprocessed.
 fn failure_outcome(head: &Head) -> Outcome {
     if head.get("x-never-ran") == Some("1") && matches!(head.status, 503 | 504) {
-        Outcome::Full
+        Outcome::Rejected
     } else {
         Outcome::Error
     }
