--- a/src/net/downstream/forwarding.rs
+++ b/src/net/downstream/forwarding.rs
@@ -11,7 +11,7 @@
 use crate::core::{Answer, Chunk, PendingRequest, Request};
 use crate::net::http::{Body, Head, HttpError, MAX_BODY_BYTES, is_safe_header_value};
 use crate::net::listener::{ReceivedBody, RequestOutcome};
-use crate::net::upstream::payload;
+use crate::net::upstream::UpstreamRequest;
 use crate::request_ids::RequestIdGuard;
 
 impl Session {
@@ -45,9 +45,16 @@
             memory: _memory,
             ..
         } = received;
+        let upstream_request = UpstreamRequest {
+            method: &head.method,
+            target: &head.target,
+            trace_id: Some(id),
+            idempotency_key,
+            body: bytes,
+        };
         let request = Request {
             attributes,
-            payload: payload(&head.method, &head.target, Some(id), idempotency_key, bytes),
+            payload: upstream_request.into_payload(),
             client: Some(self.connection.presence()),
         };
         self.submit(request, id_guard, head.closes()).await
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -11,6 +11,7 @@
 mod dial;
 mod health_check;
 mod load_report;
+mod payload;
 mod pool;
 mod response_stream;
 mod stream_tail;
@@ -18,16 +19,17 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::Duration;
 
-use bytes::Bytes;
 use tokio::sync::mpsc;
 use tracing::debug;
 
 use super::connection_limit::ConnectionLimit;
-use crate::core::{Connector, Endpoint, Message, Payload, UpstreamCommand};
+use crate::core::{Connector, Endpoint, Message, UpstreamCommand};
 use crate::interface::ReplicaId;
 use crate::ops::metrics::Metrics;
 use pool::Pool;
 
+pub use payload::{UpstreamRequest, payload};
+
 /// How long after its connect timeout an attempt may still start: the time that the actors may take
 /// between the connection and the first byte. An attempt that is later, as after the process was
 /// suspended in between, is not started.
@@ -81,32 +83,6 @@
     }
 }
 
-/// What is sent for a request: method, target, trace id, idempotency key and body are the client's,
-/// unchanged. By the key a model server recognises a retry of the same request.
-pub fn payload(
-    method: &str,
-    target: &str,
-    trace_id: Option<&str>,
-    key: Option<&str>,
-    body: Bytes,
-) -> Payload {
-    let mut preamble = format!("{method} {target} HTTP/1.1\r\n");
-    if let Some(id) = trace_id {
-        preamble.push_str(&format!("X-Trace-Id: {id}\r\n"));
-    }
-    if let Some(key) = key {
-        preamble.push_str(&format!("Idempotency-Key: {key}\r\n"));
-    }
-    preamble.push_str(&format!(
-        "Content-Type: application/json\r\nContent-Length: {}\r\n",
-        body.len()
-    ));
-    Payload {
-        preamble: preamble.into(),
-        body,
-    }
-}
-
 /// One model server, as its actor, its attempts and its health checks share it.
 struct Upstream {
     replica: ReplicaId,
