--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,5 +1,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
+use tokio::sync::mpsc;
+
 use super::*;
 use crate::core::Connector;
 use crate::core::actor::{Core, CoreOptions};
@@ -39,7 +41,7 @@
         connector: Box::new(Unused),
         discovery: mpsc::channel(1).0,
         exclusions: Vec::new(),
-        figures: Metrics::new(&[]).into(),
+        metrics: Metrics::new(&[]).into(),
     });
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("orders");
--- a/src/net/downstream/forwarding.rs
+++ b/src/net/downstream/forwarding.rs
@@ -11,7 +11,7 @@
 use crate::core::{Answer, Chunk, PendingRequest, Request};
 use crate::net::http::{Body, Head, HttpError, MAX_BODY_BYTES, is_safe_header_value};
 use crate::net::listener::{ReceivedBody, RequestOutcome};
-use crate::net::upstream::payload;
+use crate::net::upstream::UpstreamRequest;
 use crate::request_ids::RequestIdGuard;
 
 impl Session {
@@ -45,26 +45,33 @@
             memory: _memory,
             ..
         } = received;
+        let upstream_request = UpstreamRequest {
+            method: &head.method,
+            target: &head.target,
+            trace_id: Some(id),
+            idempotency_key,
+            body: bytes,
+        };
         let request = Request {
             attributes,
-            payload: payload(&head.method, &head.target, Some(id), idempotency_key, bytes),
+            payload: upstream_request.into_payload(),
             client: Some(self.connection.presence()),
         };
         self.submit(request, id_guard, head.closes()).await
     }
 
-    /// Receives the body of a request whose client waits for `patience`. The body must be a JSON
+    /// Receives the body of a request whose client waits for `timeout`. The body must be a JSON
     /// object: a wrong length may cut it short, and a model server would take the rest for another
     /// request.
     async fn receive_body(
         &mut self,
         body: &mut Body,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<ReceivedBody, RequestError> {
         let memory = self.context.body_memory.clone();
         let received = self
             .connection
-            .receive_body(body, MAX_BODY_BYTES, &memory, Some(patience))
+            .receive_body(body, MAX_BODY_BYTES, &memory, Some(timeout))
             .await;
         let reply = match received {
             Ok(received) if is_json_object(&received.bytes) => return Ok(received),
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -6,43 +6,19 @@
 use std::time::Instant;
 
 use bytes::{Bytes, BytesMut};
-use tokio::sync::mpsc;
 use tracing::{debug, trace};
 
+use super::Upstream;
+use super::attempt_end::{Completion, Interruption, LastChunk};
+use super::connection::{Connection, FramedHead};
 use super::response_stream::ResponseStream;
-use super::{Connection, Upstream};
-use crate::core::{
-    Attempt, AttemptGate, AttemptId, AttemptResult, Chunk, Message, Payload, StartDecision,
-};
+use crate::core::{Attempt, AttemptGate, AttemptId, Message, Payload, StartDecision};
 use crate::interface::Outcome;
-use crate::net::http::{self, Framing, Head};
+use crate::net::http::Head;
 
 /// Capacity reserved for the headers that are added to a request, in bytes.
 const ADDED_HEADERS_BYTES: usize = 96;
 
-/// The end of an attempt as it is reported to the core.
-pub(super) struct Completion {
-    pub(super) result: AttemptResult,
-    /// Sent to the client after the core was notified.
-    pub(super) last_chunk: Option<LastChunk>,
-}
-
-/// The last chunk of a stream, and the channel of the stream.
-pub(super) struct LastChunk {
-    pub(super) chunks: mpsc::Sender<Chunk>,
-    pub(super) chunk: Chunk,
-}
-
-/// Why an attempt ended before its stream did.
-pub(super) enum Interruption {
-    /// With this outcome; the client has got nothing of it, or wants no more.
-    Failed(Outcome),
-    /// The client has disconnected, and the core knows of it.
-    ClientDisconnected,
-    /// There is no core to report to.
-    CoreStopped,
-}
-
 impl Upstream {
     /// Makes a call attempt and reports its end to the core. Cancelling it closes its connection.
     pub(super) async fn run_attempt(self: Arc<Self>, attempt: Attempt) {
@@ -89,7 +65,7 @@
         self.begin(id, gate).await?;
         self.write_request(&connection, &request).await?;
         drop((request, payload));
-        let (head, framing) = self.read_head(&mut connection).await?;
+        let FramedHead { head, framing } = self.read_head(&mut connection).await?;
         if head.status == 200 {
             let stream = ResponseStream::new(self, id, connection, &head, framing)?;
             return stream.forward(&head).await;
@@ -149,18 +125,12 @@
             debug!("{}: failed to write a request: {e}", self.address);
             return Err(Interruption::Failed(Outcome::ConnectFailed));
         }
-        self.figures.record_attempt_sent();
+        self.metrics.record_attempt_sent();
         Ok(())
     }
 
-    async fn read_head(
-        &self,
-        connection: &mut Connection,
-    ) -> Result<(Head, Framing), Interruption> {
-        let Connection { stream, buffer, .. } = connection;
-        let head = http::read_response_head(buffer, stream).await;
-        let framed = head.and_then(|head| head.framing(true).map(|framing| (head, framing)));
-        framed.map_err(|e| {
+    async fn read_head(&self, connection: &mut Connection) -> Result<FramedHead, Interruption> {
+        connection.read_head().await.map_err(|e| {
             debug!("{}: no response: {e}", self.address);
             Interruption::Failed(Outcome::ConnectionReset)
         })
--- a/src/router/open/actors.rs
+++ b/src/router/open/actors.rs
@@ -26,7 +26,7 @@
 use crate::router::Reloader;
 
 /// Commands to the source of the endpoint list that wait at most.
-const RESOLVER_QUEUE_LENGTH: usize = 4;
+const DISCOVERY_QUEUE_LENGTH: usize = 4;
 
 /// The running actors.
 pub(super) struct Actors {
@@ -36,8 +36,8 @@
     pub(super) lifecycle: Arc<Lifecycle>,
     /// The edge; `None` where it is off.
     pub(super) edge: Option<Arc<Edge>>,
-    /// The source of the endpoint list.
-    pub(super) resolver: mpsc::Sender<DiscoveryCommand>,
+    /// Commands for the source of the endpoint list.
+    pub(super) discovery: mpsc::Sender<DiscoveryCommand>,
     /// Whether that is discovery.
     pub(super) has_discovery: bool,
     /// The endpoint list as discovery sent it, for a successor.
@@ -55,25 +55,28 @@
         inventory: Option<PathBuf>,
     ) -> Result<Actors, RunError> {
         let server_sockets = limits.server_sockets.clone();
-        let (resolver, orders) = mpsc::channel(RESOLVER_QUEUE_LENGTH);
-        let (core, core_messages) = start_core(
+        let (discovery, commands) = mpsc::channel(DISCOVERY_QUEUE_LENGTH);
+        let StartedCore {
+            handle: core,
+            messages: core_messages,
+        } = start_core(
             config,
             server_sockets.clone(),
-            resolver.clone(),
+            discovery.clone(),
             &start.maintenance,
         );
         let lifecycle = start.start_lifecycle(core.clone(), drain);
         let (edge, messages) = match edge_file {
             Some(edge_file) => {
-                let (edge, messages) =
+                let started =
                     edge_file.start(config, core.clone(), core_messages, server_sockets)?;
-                (Some(edge), messages)
+                (Some(started.edge), started.messages)
             }
             None => (None, core_messages),
         };
         let (published, endpoints) = watch::channel(config.known_endpoints.clone());
         let channels = EndpointChannels {
-            orders,
+            commands,
             messages,
             published: start.is_replaceable().then_some(published),
         };
@@ -88,7 +91,7 @@
             core,
             lifecycle,
             edge,
-            resolver,
+            discovery,
             has_discovery,
             endpoints,
         })
@@ -98,20 +101,28 @@
     pub(super) fn reloader(&self, config_file: Option<PathBuf>) -> Reloader {
         Reloader {
             config_file,
-            resolver: self.has_discovery.then(|| self.resolver.clone()),
+            discovery: self.has_discovery.then(|| self.discovery.clone()),
             edge: self.edge.clone(),
         }
     }
 }
 
-/// Starts the core's actor: the way in for fronts and commands, and its message queue.
+/// The running core.
+struct StartedCore {
+    /// The way in for fronts and commands.
+    handle: CoreHandle,
+    /// The core's message queue.
+    messages: mpsc::Sender<Message>,
+}
+
+/// Starts the core's actor with the connections to model servers.
 fn start_core(
     config: &Config,
     server_sockets: ConnectionLimit,
-    resolver: mpsc::Sender<DiscoveryCommand>,
+    discovery: mpsc::Sender<DiscoveryCommand>,
     maintenance: &MaintenanceState,
-) -> (CoreHandle, mpsc::Sender<Message>) {
-    let figures = Arc::new(Metrics::new(&config.classes));
+) -> StartedCore {
+    let metrics = Arc::new(Metrics::new(&config.classes));
     let connector = upstream::TcpConnector {
         options: upstream::Options {
             connect_timeout: config.connect_timeout,
@@ -119,24 +130,24 @@
             load_report_names: config.load_report_names.clone(),
         },
         connection_limit: server_sockets,
-        figures: figures.clone(),
+        metrics: metrics.clone(),
         messages: Arc::new(OnceLock::new()),
     };
     // connections send their messages to the core, which is started with their connector
     let connector_messages = connector.messages.clone();
     let exclusions = maintenance.exclusions.iter();
-    let (core, messages) = Core::start(CoreOptions {
+    let (handle, messages) = Core::start(CoreOptions {
         settings: config.settings.clone(),
         seed: config.seed,
         max_requests_in_flight: config.max_requests,
         attempt_start_timeout: config.connect_timeout + upstream::START_GRACE,
         connector: Box::new(connector),
-        discovery: resolver,
+        discovery,
         exclusions: exclusions
             .map(|exclusion| (ReplicaId::from_name(&exclusion.name), exclusion.clone()))
             .collect(),
-        figures,
+        metrics,
     });
     let _ = connector_messages.set(messages.clone());
-    (core, messages)
+    StartedCore { handle, messages }
 }
