--- a/tests/leaving.rs
+++ b/tests/client_disconnects.rs
@@ -5,8 +5,8 @@
 use std::io::Write;
 use std::time::Duration;
 
+use common::low_memory;
 use common::peers::*;
-use common::small;
 use tokio::time::sleep;
 
 /// A client disconnects while its body waits for memory behind others: nothing is sent for it when
@@ -21,10 +21,10 @@
         }
     })
     .await;
-    let router = route(small::config(&server.address)).await;
-    let [mut a, mut b] = small::fill(&router, &server).await;
+    let router = route(low_memory::config(&server.address)).await;
+    let [mut a, mut b] = low_memory::fill(&router, &server).await;
     let mut gone = Client::new(&router.platform).await;
-    gone.send(&small::large(100, 10_000)).await;
+    gone.send(&low_memory::large(100, 10_000)).await;
     sleep(Duration::from_millis(100)).await;
     drop(gone);
     sleep(Duration::from_millis(150)).await;
@@ -36,7 +36,7 @@
     assert!(
         Client::new(&router.platform)
             .await
-            .call(&small::large(250, 10_000))
+            .call(&low_memory::large(250, 10_000))
             .await
             .whole
     );
@@ -79,7 +79,7 @@
 #[tokio::test]
 async fn disconnect_during_stall_sends_nothing(#[case] more: &[u8]) {
     let server = peer(|_, _, _| answer("x")).await;
-    let router = route(small::config(&server.address)).await;
+    let router = route(low_memory::config(&server.address)).await;
     assert_eq!(ask(&router.platform, "hint", 1000).await.head.status, 200);
     for _ in 0..10 {
         let mut stream = std::net::TcpStream::connect(&router.platform).unwrap();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,16 +3,17 @@
 
 pub mod bystander;
 pub mod client;
-pub mod counted;
+pub mod counting_allocator;
 pub mod fleet;
 pub mod folder;
 pub mod injected;
+pub mod low_memory;
 pub mod peers;
 pub mod persistent;
 pub mod platform;
 pub mod process;
 pub mod scripted;
-pub mod small;
+pub mod scripted_peer;
 pub mod world;
 
 use stilespan::Balancer;
--- a/tests/faults/clients.rs
+++ b/tests/faults/clients.rs
@@ -10,9 +10,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::moves::Move;
-use super::play::Recorder;
+use super::client_action::Move;
 use super::record::{Delivery, DeliveryEnd};
+use super::seed_run::Recorder;
 use super::wire::{Connection, Message, Progress};
 
 /// A client waits for so long beyond its patience before it calls its request silent: longer than
--- a/tests/faults/main.rs
+++ b/tests/faults/main.rs
@@ -4,18 +4,18 @@
 
 mod check;
 mod check_tests;
+mod client_action;
 mod clients;
 mod failing_calls;
-mod moves;
-mod play;
 mod record;
+mod seed_run;
 mod servers;
 mod wire;
 
 use std::path::PathBuf;
 
-use play::{Played, SystemCalls};
 use record::{AttemptEnd, DeliveryEnd, Record};
+use seed_run::{Played, SystemCalls};
 
 /// Seeds that are played in every run of the tests.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=4;
@@ -70,7 +70,9 @@
     let (program, mut broken) = (program(), Vec::new());
     for seeds in seeds.chunks(SIDE_BY_SIDE) {
         let playing = PLAYING.lock().await;
-        let plays = seeds.iter().map(|&seed| play::play(seed, &program, calls));
+        let plays = seeds
+            .iter()
+            .map(|&seed| seed_run::play(seed, &program, calls));
         let played = futures_util::future::join_all(plays).await;
         drop(playing);
         for (seed, played) in seeds.iter().zip(played) {
--- a/tests/faults/servers.rs
+++ b/tests/faults/servers.rs
@@ -11,8 +11,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::play::Recorder;
 use super::record::{Attempt, AttemptEnd};
+use super::seed_run::Recorder;
 use super::wire::{Connection, Message, Progress};
 
 /// A server looks so often whether the play is over.
--- a/tests/fleet_sizes.rs
+++ b/tests/fleet_sizes.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::counted::{Counted, allocated_bytes, live_bytes};
+use common::counting_allocator::{Counted, allocated_bytes, live_bytes};
 use common::fleet::*;
 use common::*;
 use rstest::rstest;
--- a/tests/patience.rs
+++ b/tests/request_deadlines.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
+use common::low_memory;
 use common::peers::*;
-use common::small;
 use tokio::time::{Instant, sleep, timeout};
 
 /// The `X-Expires-In-Ms` of the model server's last request.
@@ -25,11 +25,11 @@
 #[tokio::test]
 async fn memory_shortage_is_answered_in_time() {
     let server = peer(|_, _, _| [vec![Step::Gate], answer("x")].concat()).await;
-    let router = route(small::config(&server.address)).await;
-    let _held = small::fill(&router, &server).await;
+    let router = route(low_memory::config(&server.address)).await;
+    let _held = low_memory::fill(&router, &server).await;
     let start = Instant::now();
     let mut client = Client::new(&router.platform).await;
-    client.send(&small::large(100, 600)).await;
+    client.send(&low_memory::large(100, 600)).await;
     let got = timeout(Duration::from_secs(5), client.answer())
         .await
         .unwrap()
@@ -53,10 +53,10 @@
         }
     })
     .await;
-    let router = route(small::config(&server.address)).await;
-    let _held = small::fill(&router, &server).await;
+    let router = route(low_memory::config(&server.address)).await;
+    let _held = low_memory::fill(&router, &server).await;
     let mut client = Client::new(&router.platform).await;
-    client.send(&small::large(100, 2000)).await;
+    client.send(&low_memory::large(100, 2000)).await;
     sleep(Duration::from_millis(800)).await;
     server.gate.add_permits(2);
     assert!(client.answer().await.expect("an answer").whole);
--- a/tests/router.rs
+++ b/tests/router/main.rs
@@ -1,6 +1,7 @@
 //! Attempts at model servers over loopback sockets, each with scripted peers: one test for each
 //! failure met or guarded against.
 
+#[path = "../common/mod.rs"]
 mod common;
 
 use std::sync::atomic::Ordering;
--- a/tests/upgrade.rs
+++ b/tests/upgrade/main.rs
@@ -1,6 +1,7 @@
 //! One process replaces another under load: two processes of the built program on one inherited
 //! listening socket.
 
+#[path = "../common/mod.rs"]
 mod common;
 
 use std::fs;
