--- a/tests/common/scripted_peer.rs
+++ b/tests/common/scripted_peer.rs
@@ -45,9 +45,9 @@
 pub struct Peer {
     pub address: String,
     pub connections: Arc<AtomicUsize>,
-    /// Requests at work now, and the most at once.
-    pub out: Arc<AtomicUsize>,
-    pub most_out: Arc<AtomicUsize>,
+    /// Requests in flight now, and the highest number of them at any time.
+    pub in_flight: Arc<AtomicUsize>,
+    pub max_in_flight: Arc<AtomicUsize>,
     /// Requests that the other side gave up.
     pub dropped: Arc<AtomicUsize>,
     pub gate: Arc<Semaphore>,
@@ -61,8 +61,8 @@
     let peer = Peer {
         address: listener.local_addr().unwrap().to_string(),
         connections: Arc::default(),
-        out: Arc::default(),
-        most_out: Arc::default(),
+        in_flight: Arc::default(),
+        max_in_flight: Arc::default(),
         dropped: Arc::default(),
         gate: Arc::new(Semaphore::new(0)),
         seen: Arc::default(),
@@ -80,10 +80,10 @@
                         seen.push((head.clone(), body.clone()));
                         script(seen.len() - 1, &head, &body)
                     };
-                    let out = me.out.fetch_add(1, Ordering::SeqCst) + 1;
-                    me.most_out.fetch_max(out, Ordering::SeqCst);
+                    let in_flight = me.in_flight.fetch_add(1, Ordering::SeqCst) + 1;
+                    me.max_in_flight.fetch_max(in_flight, Ordering::SeqCst);
                     let open = me.play(steps, &mut buffer, &mut stream).await;
-                    me.out.fetch_sub(1, Ordering::SeqCst);
+                    me.in_flight.fetch_sub(1, Ordering::SeqCst);
                     if !open {
                         return;
                     }
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -153,7 +153,7 @@
     client.send(&request("batch-mark", 10_000, more)).await;
     client.send(&vec![b'.'; 200_000]).await;
     until("the server is done", || {
-        server.requests() == 1 && server.out.load(Ordering::SeqCst) == 0
+        server.requests() == 1 && server.in_flight.load(Ordering::SeqCst) == 0
     })
     .await;
     // what is left fits into what the system holds for the router, whose side ends meanwhile
--- a/tests/production_terms.rs
+++ b/tests/production_terms.rs
@@ -183,9 +183,9 @@
         fs::write(&file.0, config_text(&hosts, Some(at))).unwrap();
         signal("HUP", &child);
     }
-    let out = |discovery: &Peer| discovery.out.load(Ordering::SeqCst);
+    let in_flight = |discovery: &Peer| discovery.in_flight.load(Ordering::SeqCst);
     until("the last watch alone", || {
-        last.requests() > 1 && (out(&last), out(&other)) == (1, 0)
+        last.requests() > 1 && (in_flight(&last), in_flight(&other)) == (1, 0)
     })
     .await;
     assert!(ask(&address, "hint", 1000).await.body.contains("\"b\""));
