--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -571,7 +571,7 @@
         [
             vec![Step::Gate, Step::Sleep(if batch { 120 } else { 60 })],
             answer("x"),
-            vec![Step::Free],
+            vec![Step::Release],
         ]
         .concat()
     })
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -22,11 +22,11 @@
     })
     .await;
     let router = route(low_memory::config(&server.address)).await;
-    let [mut a, mut b] = low_memory::fill(&router, &server).await;
-    let mut gone = Client::new(&router.platform).await;
-    gone.send(&low_memory::large(100, 10_000)).await;
+    let [mut a, mut b] = low_memory::fill_memory(&router, &server).await;
+    let mut leaving = Client::new(&router.platform).await;
+    leaving.send(&low_memory::large_request(100, 10_000)).await;
     sleep(Duration::from_millis(100)).await;
-    drop(gone);
+    drop(leaving);
     sleep(Duration::from_millis(150)).await;
     server.gate.add_permits(2);
     assert!(a.answer().await.unwrap().whole && b.answer().await.unwrap().whole);
@@ -36,7 +36,7 @@
     assert!(
         Client::new(&router.platform)
             .await
-            .call(&low_memory::large(250, 10_000))
+            .call(&low_memory::large_request(250, 10_000))
             .await
             .whole
     );
@@ -48,17 +48,17 @@
 async fn no_attempt_follows_mass_disconnect() {
     // one at a time: all but the first wait for theirs, also after it is done
     let server = peer(|_, _, _| [vec![Step::Sleep(50)], answer("x")].concat()).await;
-    let mut one = config(&[("s-a", &server.address, "SERVING")], None);
-    one.max_descriptors = 900;
-    let router = route(one).await;
-    let mut crowd = Vec::new();
+    let mut config = config(&[("s-a", &server.address, "SERVING")], None);
+    config.max_descriptors = 900;
+    let router = route(config).await;
+    let mut clients = Vec::new();
     for _ in 0..300 {
         let mut client = Client::new(&router.platform).await;
         client.send(&request("batch-mark", 10_000, "")).await;
-        crowd.push(client);
+        clients.push(client);
     }
     until("some are at the server", || server.requests() > 0).await;
-    drop(crowd);
+    drop(clients);
     sleep(Duration::from_millis(100)).await;
     let begun = server.requests();
     assert!(begun < 300, "all were served: nobody waited");
@@ -71,7 +71,7 @@
     );
 }
 
-/// A client sends its request and disconnects while the process is stopped: nothing is forwarded
+/// A client sends its request and disconnects while the process is suspended: nothing is forwarded
 /// when the process resumes, though the request has arrived completely.
 #[rstest::rstest]
 #[case::alone(b"")]
--- a/tests/common/counting_allocator.rs
+++ b/tests/common/counting_allocator.rs
@@ -1,5 +1,5 @@
-//! An allocator that counts what the calling thread allocates: the same figures on every run,
-//! however busy the machine. A test file makes it the global one.
+//! An allocator that counts what the calling thread allocates: the counts are the same on every
+//! run, however busy the machine. A test file makes it the global one.
 #![allow(dead_code)]
 
 use std::alloc::{GlobalAlloc, Layout, System};
@@ -11,11 +11,11 @@
 }
 
 /// The system's allocator, counted.
-pub struct Counted;
+pub struct CountingAllocator;
 
 // SAFETY: every call goes on to the system's allocator unchanged; the counters neither allocate nor
 // have a destructor.
-unsafe impl GlobalAlloc for Counted {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         LIVE.set(LIVE.get() + layout.size() as isize);
         BYTES.set(BYTES.get() + layout.size());
--- a/tests/connection_limit.rs
+++ b/tests/connection_limit.rs
@@ -83,7 +83,7 @@
 async fn clients_leave_connections_for_servers() {
     let server = peer(|_, _, _| {
         let begun = Step::Write(format!("{STREAM}{}", chunk(&event("x"))));
-        vec![begun, Step::Gate, Step::Free, Step::Write(LAST.into())]
+        vec![begun, Step::Gate, Step::Release, Step::Write(LAST.into())]
     })
     .await;
     let mut config = config(&[("s-a", &server.address, "SERVING")], None);
--- a/tests/descriptor_reserve.rs
+++ b/tests/descriptor_reserve.rs
@@ -13,7 +13,7 @@
 const DESCRIPTORS: usize = 100;
 
 /// Discovery's address while it is down: nobody listens there.
-async fn nowhere() -> String {
+async fn unused_address() -> String {
     TcpListener::bind("127.0.0.1:0")
         .await
         .unwrap()
@@ -24,7 +24,7 @@
 
 /// Holds more idle connections open than the router's limit, and opens another for each that it
 /// closes, until then.
-async fn crowd(address: String, until: Instant) {
+async fn hold_idle_connections(address: String, until: Instant) {
     let mut idle: Vec<TcpStream> = Vec::new();
     while Instant::now() < until {
         idle.retain_mut(|stream| {
@@ -44,12 +44,12 @@
 #[tokio::test]
 async fn idle_clients_block_nothing_else() {
     let server = peer(|_, _, _| answer("x")).await;
-    let discovery = nowhere().await;
-    let mut small = config(&[("s-a", &server.address, "SERVING")], Some(&discovery));
-    small.max_descriptors = DESCRIPTORS;
-    let router = route(small).await;
+    let discovery = unused_address().await;
+    let mut config = config(&[("s-a", &server.address, "SERVING")], Some(&discovery));
+    config.max_descriptors = DESCRIPTORS;
+    let router = route(config).await;
     let end = Instant::now() + Duration::from_secs(8);
-    let crowd = tokio::spawn(crowd(router.platform.clone(), end));
+    let idle_clients = tokio::spawn(hold_idle_connections(router.platform.clone(), end));
     sleep(Duration::from_millis(500)).await;
     for _ in 0..5 {
         // live clients that connect beside them, each with a connection of its own
@@ -70,12 +70,12 @@
         assert_eq!(&first, b"HTTP/1.1 ");
         sleep(Duration::from_millis(300)).await;
     }
-    // discovery is back, and is called within what the pages allow after a failed call
+    // discovery is back, and is called within the time that the platform allows after a failed call
     let listener = TcpListener::bind(&discovery).await.unwrap();
     let called = timeout(Duration::from_secs(4), listener.accept()).await;
     assert!(
         called.is_ok_and(|accepted| accepted.is_ok()),
         "discovery was not called"
     );
-    crowd.abort();
+    idle_clients.abort();
 }
--- a/tests/fleet_sizes.rs
+++ b/tests/fleet_sizes.rs
@@ -4,14 +4,14 @@
 
 mod common;
 
-use common::counting_allocator::{Counted, allocated_bytes, live_bytes};
+use common::counting_allocator::{CountingAllocator, allocated_bytes, live_bytes};
 use common::fleet::*;
 use common::*;
 use rstest::rstest;
 use stilespan::interface::*;
 
 #[global_allocator]
-static COUNTED: Counted = Counted;
+static COUNTED: CountingAllocator = CountingAllocator;
 
 /// The usual number of servers, sixteen times as many, and the most there may be.
 const USUAL: u64 = 100;
--- a/tests/maintenance_state.rs
+++ b/tests/maintenance_state.rs
@@ -33,15 +33,11 @@
         listener,
         folder: Some(folder.path("")),
     });
-    let plan = RouterOptions {
-        config,
-        batch: None,
-        edge: None,
-        inventory: None,
-        config_file: None,
+    let options = RouterOptions {
         inherited,
+        ..router_options(config)
     };
-    (start(plan).await, a, b)
+    (start(options).await, a, b)
 }
 
 async fn disable(router: &Router, name: &str) -> Got {
--- a/tests/operations/admin_address.rs
+++ b/tests/operations/admin_address.rs
@@ -63,14 +63,7 @@
     let mut config = config(&[], None);
     config.admin = Some(taken.local_addr().unwrap().to_string());
     let at = config.admin.clone().unwrap();
-    let plan = stilespan::router::RouterOptions {
-        config,
-        batch: None,
-        edge: None,
-        inventory: None,
-        config_file: None,
-        inherited: None,
-    };
-    let opened = stilespan::router::open(plan, tokio::sync::watch::channel(false).1).await;
+    let options = router_options(config);
+    let opened = stilespan::router::open(options, tokio::sync::watch::channel(false).1).await;
     assert!(opened.err().unwrap().to_string().contains(&at));
 }
--- a/tests/operations/drain.rs
+++ b/tests/operations/drain.rs
@@ -12,7 +12,7 @@
 async fn drained_router_empties_and_returns() {
     let server = peer(|n, _, _| {
         if n == 0 {
-            vec![Step::Gate, Step::Free]
+            vec![Step::Gate, Step::Release]
         } else {
             answer("x")
         }
--- a/tests/production_terms.rs
+++ b/tests/production_terms.rs
@@ -148,7 +148,7 @@
 /// last one is in force, with one watch alone, and what is in flight goes on.
 #[tokio::test]
 async fn of_configurations_in_quick_succession_the_last_is_in_force() {
-    let slow = [vec![Step::Gate, Step::Free], answer("a")].concat();
+    let slow = [vec![Step::Gate, Step::Release], answer("a")].concat();
     let (a, b) = (
         peer(move |_, _, _| slow.clone()).await,
         peer(|_, _, _| answer("b")).await,
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -142,7 +142,7 @@
 /// for the whole list, though a call is under way at the old one. What is in flight goes on.
 #[tokio::test]
 async fn sighup_moves_the_watch_and_a_bad_file_changes_nothing() {
-    let slow = [vec![Step::Gate, Step::Free], answer("a")].concat();
+    let slow = [vec![Step::Gate, Step::Release], answer("a")].concat();
     let (a, b) = (
         peer(move |_, _, _| slow.clone()).await,
         peer(|_, _, _| answer("b")).await,
--- a/tests/request_deadlines.rs
+++ b/tests/request_deadlines.rs
@@ -26,10 +26,10 @@
 async fn memory_shortage_is_answered_in_time() {
     let server = peer(|_, _, _| [vec![Step::Gate], answer("x")].concat()).await;
     let router = route(low_memory::config(&server.address)).await;
-    let _held = low_memory::fill(&router, &server).await;
+    let _in_flight = low_memory::fill_memory(&router, &server).await;
     let start = Instant::now();
     let mut client = Client::new(&router.platform).await;
-    client.send(&low_memory::large(100, 600)).await;
+    client.send(&low_memory::large_request(100, 600)).await;
     let got = timeout(Duration::from_secs(5), client.answer())
         .await
         .unwrap()
@@ -54,9 +54,9 @@
     })
     .await;
     let router = route(low_memory::config(&server.address)).await;
-    let _held = low_memory::fill(&router, &server).await;
+    let _in_flight = low_memory::fill_memory(&router, &server).await;
     let mut client = Client::new(&router.platform).await;
-    client.send(&low_memory::large(100, 2000)).await;
+    client.send(&low_memory::large_request(100, 2000)).await;
     sleep(Duration::from_millis(800)).await;
     server.gate.add_permits(2);
     assert!(client.answer().await.expect("an answer").whole);
