--- a/tests/faults/clients.rs
+++ b/tests/faults/clients.rs
@@ -11,9 +11,9 @@
 use rand::{RngExt, SeedableRng};
 
 use super::client_action::Move;
+use super::http::{Connection, Message, Progress};
 use super::record::{Delivery, DeliveryEnd};
 use super::seed_run::Recorder;
-use super::wire::{Connection, Message, Progress};
 
 /// A client waits for so long beyond its patience before it calls its request silent: longer than
 /// any stop of a process.
--- a/tests/faults/main.rs
+++ b/tests/faults/main.rs
@@ -7,10 +7,10 @@
 mod client_action;
 mod clients;
 mod failing_calls;
+mod http;
 mod record;
 mod seed_run;
 mod servers;
-mod wire;
 
 use std::path::PathBuf;
 
--- a/tests/faults/servers.rs
+++ b/tests/faults/servers.rs
@@ -11,9 +11,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
+use super::http::{Connection, Message, Progress};
 use super::record::{Attempt, AttemptEnd};
 use super::seed_run::Recorder;
-use super::wire::{Connection, Message, Progress};
 
 /// A server looks so often whether the play is over.
 const LOOK: Duration = Duration::from_millis(50);
