--- a/tests/faults/check.rs
+++ b/tests/faults/check.rs
@@ -1,4 +1,4 @@
-//! The rules, held against what the peers saw. Nothing here knows what the routers say of
+//! Checks what the peers observed against the rules. It uses nothing that the routers report of
 //! themselves.
 
 use std::collections::BTreeMap;
@@ -6,45 +6,45 @@
 
 use super::record::{Attempt, AttemptEnd, Delivery, DeliveryEnd, Record};
 
-/// Attempts that a request may have.
-const MOST_ATTEMPTS: usize = 3;
-/// A final answer may come so much after the client's time.
-const LATE: Duration = Duration::from_millis(500);
-/// An attempt may begin so long after the request's end or its client's leaving.
-const AFTER_END: Duration = Duration::from_millis(100);
-/// The time told to a server may be so much more than what the client has left.
-const TOLD_MORE: Duration = Duration::from_millis(150);
-/// What may pass between an event and its place in a peer's record, on a busy machine.
+/// Attempts that a request may have in all.
+const MAX_ATTEMPTS: usize = 3;
+/// A final answer may begin so much later than the client's deadline.
+const ANSWER_TOLERANCE: Duration = Duration::from_millis(500);
+/// An attempt may begin so long after the request's end or its client's disconnection.
+const END_TOLERANCE: Duration = Duration::from_millis(100);
+/// The timeout forwarded to a server may exceed the client's remaining time by so much.
+const TIMEOUT_TOLERANCE: Duration = Duration::from_millis(150);
+/// Time between an event and its entry in a peer's record on a busy machine.
 const SLACK: Duration = Duration::from_millis(50);
 
-/// A rule that was broken.
+/// A rule that a run can violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// An accepted request had no complete answer.
     Unanswered,
-    /// It was read, and its connection closed.
+    /// A request was read, and its connection closed without an answer.
     ReadAndClosed,
-    /// A stream was cut that its server had not cut.
-    SoundStreamCut,
-    /// The answer was made for another request, or by nobody.
+    /// A stream broke off that its server had not broken off.
+    StreamTruncated,
+    /// The answer was made for another request, or for none.
     WrongAnswer,
-    /// The final answer came too late.
+    /// The final answer began too late.
     LateAnswer,
     /// An attempt began after the request's end.
     AttemptAfterEnd,
-    /// An attempt began after its client had left.
-    AttemptAfterLeaving,
-    /// Two attempts were out at once.
-    TwoAtOnce,
+    /// An attempt began after its client had disconnected.
+    AttemptAfterDisconnect,
+    /// Two attempts were in flight at once.
+    OverlappingAttempts,
     /// There were too many attempts.
     TooManyAttempts,
-    /// A server was told more time than the client had left.
+    /// A server was given more time than the client had left.
     DeadlineTooLong,
     /// An attempt was made for a request that no client had sent.
     UnknownRequest,
 }
 
-/// What was found.
+/// A violated rule, the request's id, and what was recorded of it.
 #[derive(Clone, Debug)]
 pub struct Violation {
     pub rule: Rule,
@@ -52,7 +52,7 @@
     pub detail: String,
 }
 
-/// All that a play broke; none where every rule holds.
+/// All violations in a run's record; none where every rule holds.
 pub fn violations(record: &Record) -> Vec<Violation> {
     let mut found = Vec::new();
     let mut attempts: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
@@ -65,22 +65,25 @@
     }
     for (id, deliveries) in &mut requests {
         deliveries.sort_by_key(|delivery| delivery.sent);
-        let mut made = attempts.remove(id).unwrap_or_default();
-        made.sort_by_key(|attempt| attempt.began);
+        let mut own_attempts = attempts.remove(id).unwrap_or_default();
+        own_attempts.sort_by_key(|attempt| attempt.began);
         let request = Request {
             record,
             deliveries,
-            attempts: &made,
+            attempts: &own_attempts,
         };
-        let broken = request.answers().into_iter().chain(request.sends());
-        found.extend(broken.map(|(rule, detail)| Violation {
+        let violated = request
+            .check_answers()
+            .into_iter()
+            .chain(request.check_attempts());
+        found.extend(violated.map(|(rule, detail)| Violation {
             rule,
             id: id.to_string(),
             detail,
         }));
     }
-    for (id, made) in attempts {
-        let detail = format!("{made:?}");
+    for (id, own_attempts) in attempts {
+        let detail = format!("{own_attempts:?}");
         found.push(Violation {
             rule: Rule::UnknownRequest,
             id: id.to_string(),
@@ -97,12 +100,12 @@
     attempts: &'a [&'a Attempt],
 }
 
-type Broken = Vec<(Rule, String)>;
+type Violations = Vec<(Rule, String)>;
 
 impl Request<'_> {
-    /// What is wrong with its answers.
-    fn answers(&self) -> Broken {
-        let mut broken = Vec::new();
+    /// Rules that its answers violate.
+    fn check_answers(&self) -> Violations {
+        let mut violations = Vec::new();
         for delivery in self.deliveries {
             let Delivery {
                 id,
@@ -113,36 +116,37 @@
                 ..
             } = delivery;
             let killed = self.record.killed(*router, *sent, *ended);
-            let mut add =
-                |rule| broken.push((rule, format!("{delivery:?}, attempts {:?}", self.attempts)));
+            let mut add = |rule| {
+                violations.push((rule, format!("{delivery:?}, attempts {:?}", self.attempts)));
+            };
             match end {
                 DeliveryEnd::Answered { made_for } if made_for.as_ref() != Some(id) => {
                     add(Rule::WrongAnswer);
                 }
-                DeliveryEnd::Cut { made_for }
+                DeliveryEnd::Truncated { made_for }
                     if made_for.as_ref().is_some_and(|made_for| made_for != id) =>
                 {
                     add(Rule::WrongAnswer);
                 }
-                DeliveryEnd::Garbled => add(Rule::WrongAnswer),
-                DeliveryEnd::Cut { .. } if !killed && !self.cut_by_server() => {
-                    add(Rule::SoundStreamCut);
+                DeliveryEnd::Malformed => add(Rule::WrongAnswer),
+                DeliveryEnd::Truncated { .. } if !killed && !self.truncated_by_server() => {
+                    add(Rule::StreamTruncated);
                 }
                 DeliveryEnd::ReadAndClosed if !killed => add(Rule::ReadAndClosed),
-                DeliveryEnd::Silent if !killed => add(Rule::Unanswered),
+                DeliveryEnd::TimedOut if !killed => add(Rule::Unanswered),
                 _ => {}
             }
             if self.is_late(delivery) && !killed {
                 add(Rule::LateAnswer);
             }
         }
-        broken
+        violations
     }
 
-    fn cut_by_server(&self) -> bool {
+    fn truncated_by_server(&self) -> bool {
         self.attempts
             .last()
-            .is_some_and(|attempt| attempt.end == AttemptEnd::CutByServer)
+            .is_some_and(|attempt| attempt.end == AttemptEnd::TruncatedByServer)
     }
 
     fn is_late(&self, delivery: &Delivery) -> bool {
@@ -150,52 +154,56 @@
             router,
             sent,
             turn,
-            patience,
+            timeout,
             began,
             end,
             ..
         } = delivery;
         let answered = matches!(
             end,
-            DeliveryEnd::Answered { .. } | DeliveryEnd::Cut { .. } | DeliveryEnd::Declined(_)
+            DeliveryEnd::Answered { .. }
+                | DeliveryEnd::Truncated { .. }
+                | DeliveryEnd::ErrorStatus(_)
         );
         let stopped = self.record.stopped(*router, *sent, *began);
-        answered && *began > (*sent + *patience).max(*turn) + LATE + stopped + SLACK
+        answered && *began > (*sent + *timeout).max(*turn) + ANSWER_TOLERANCE + stopped + SLACK
     }
 
-    /// What is wrong with its attempts.
-    fn sends(&self) -> Broken {
-        let mut broken = Vec::new();
-        if self.attempts.len() > MOST_ATTEMPTS {
-            broken.push((Rule::TooManyAttempts, format!("{:?}", self.attempts)));
+    /// Rules that its attempts violate.
+    fn check_attempts(&self) -> Violations {
+        let mut violations = Vec::new();
+        if self.attempts.len() > MAX_ATTEMPTS {
+            violations.push((Rule::TooManyAttempts, format!("{:?}", self.attempts)));
         }
         for pair in self.attempts.windows(2) {
-            if pair[0].over > pair[1].began + SLACK {
-                broken.push((Rule::TwoAtOnce, format!("{pair:?}")));
+            if pair[0].ended > pair[1].began + SLACK {
+                violations.push((Rule::OverlappingAttempts, format!("{pair:?}")));
             }
         }
         for attempt in self.attempts {
-            broken.extend(
-                self.misplaced(attempt)
+            violations.extend(
+                self.check_attempt(attempt)
                     .map(|rule| (rule, format!("{attempt:?}, {:?}", self.deliveries))),
             );
         }
-        broken
+        violations
     }
 
-    /// What is wrong with an attempt beside the delivery that it was made for.
-    fn misplaced(&self, attempt: &Attempt) -> Option<Rule> {
+    /// The rule that an attempt violates, given the delivery that it was made for.
+    fn check_attempt(&self, attempt: &Attempt) -> Option<Rule> {
         let before = |delivery: &&&Delivery| delivery.sent <= attempt.began + SLACK;
         let delivery = self.deliveries.iter().rev().find(before);
         let Some(delivery) = delivery else {
             return Some(Rule::UnknownRequest);
         };
-        let over = attempt.began > delivery.ended + AFTER_END + SLACK;
-        let left = (delivery.sent + delivery.patience).saturating_sub(attempt.began);
+        let too_late = attempt.began > delivery.ended + END_TOLERANCE + SLACK;
+        let remaining = (delivery.sent + delivery.timeout).saturating_sub(attempt.began);
         match delivery.end {
-            DeliveryEnd::Left if over => Some(Rule::AttemptAfterLeaving),
-            _ if over => Some(Rule::AttemptAfterEnd),
-            _ if attempt.told > left + TOLD_MORE + SLACK => Some(Rule::DeadlineTooLong),
+            DeliveryEnd::Disconnected if too_late => Some(Rule::AttemptAfterDisconnect),
+            _ if too_late => Some(Rule::AttemptAfterEnd),
+            _ if attempt.forwarded_timeout > remaining + TIMEOUT_TOLERANCE + SLACK => {
+                Some(Rule::DeadlineTooLong)
+            }
             _ => None,
         }
     }
--- a/tests/faults/check_tests.rs
+++ b/tests/faults/check_tests.rs
@@ -1,4 +1,4 @@
-//! The checker finds each fault in a forged record.
+//! The checker finds each violation in a forged record.
 
 use std::time::Duration;
 
@@ -23,25 +23,25 @@
         router: 0,
         sent: ms(1000),
         turn: ms(1000),
-        patience: ms(1000),
+        timeout: ms(1000),
         began: ms(1100),
         ended: ms(1150),
         end,
     }
 }
 
-fn attempt(began: u64, over: u64) -> Attempt {
-    let told = ms(2000_u64.saturating_sub(began));
+fn attempt(began: u64, ended: u64) -> Attempt {
+    let forwarded_timeout = ms(2000_u64.saturating_sub(began));
     Attempt {
         id: "a".into(),
         began: ms(began),
-        told,
-        over: ms(over),
-        end: AttemptEnd::Whole,
+        forwarded_timeout,
+        ended: ms(ended),
+        end: AttemptEnd::Complete,
     }
 }
 
-/// A request that was answered as it should be.
+/// A request that was answered correctly.
 fn sound() -> Record {
     Record {
         deliveries: vec![delivery(answered("a"))],
@@ -58,19 +58,19 @@
 }
 
 #[test]
-fn a_sound_record_breaks_nothing() {
+fn sound_record_has_no_violations() {
     assert_eq!(rules(&sound()), []);
 }
 
 #[rstest]
-#[case::silent(DeliveryEnd::Silent, Rule::Unanswered)]
+#[case::timed_out(DeliveryEnd::TimedOut, Rule::Unanswered)]
 #[case::read_and_closed(DeliveryEnd::ReadAndClosed, Rule::ReadAndClosed)]
-#[case::cut(DeliveryEnd::Cut { made_for: Some("a".into()) }, Rule::SoundStreamCut)]
+#[case::truncated(DeliveryEnd::Truncated { made_for: Some("a".into()) }, Rule::StreamTruncated)]
 #[case::another_answer(answered("b"), Rule::WrongAnswer)]
-#[case::nobodys_answer(DeliveryEnd::Answered { made_for: None }, Rule::WrongAnswer)]
-#[case::another_answer_begun(DeliveryEnd::Cut { made_for: Some("b".into()) }, Rule::WrongAnswer)]
-#[case::garbled(DeliveryEnd::Garbled, Rule::WrongAnswer)]
-fn a_forged_end_is_found(#[case] end: DeliveryEnd, #[case] rule: Rule) {
+#[case::answer_for_no_request(DeliveryEnd::Answered { made_for: None }, Rule::WrongAnswer)]
+#[case::another_answer_begun(DeliveryEnd::Truncated { made_for: Some("b".into()) }, Rule::WrongAnswer)]
+#[case::malformed(DeliveryEnd::Malformed, Rule::WrongAnswer)]
+fn forged_end_is_found(#[case] end: DeliveryEnd, #[case] rule: Rule) {
     let record = Record {
         deliveries: vec![delivery(end)],
         ..sound()
@@ -80,9 +80,9 @@
 
 #[rstest]
 #[case::unread(DeliveryEnd::ClosedUnread)]
-#[case::declined(DeliveryEnd::Declined(503))]
-#[case::left(DeliveryEnd::Left)]
-fn an_end_that_is_allowed_is_not(#[case] end: DeliveryEnd) {
+#[case::error_status(DeliveryEnd::ErrorStatus(503))]
+#[case::disconnected(DeliveryEnd::Disconnected)]
+fn allowed_end_is_no_violation(#[case] end: DeliveryEnd) {
     assert_eq!(
         rules(&Record {
             deliveries: vec![delivery(end)],
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_late_answer_is_found_and_the_time_of_a_stop_is_not_the_routers() {
+fn late_answer_excludes_stopped_time() {
     let mut record = sound();
     (record.deliveries[0].began, record.deliveries[0].ended) = (ms(2600), ms(2700));
     assert_eq!(rules(&record), [Rule::LateAnswer]);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_killed_router_owes_no_answer_and_still_no_wrong_one() {
+fn kill_excuses_only_missing_answers() {
     let killed = Outage {
         router: 0,
         kind: OutageKind::Killed,
@@ -128,13 +128,13 @@
 }
 
 #[rstest]
-#[case::four(vec![attempt(1010, 1020), attempt(1030, 1040), attempt(1050, 1060), attempt(1070, 1080)], Rule::TooManyAttempts)]
-#[case::at_once(vec![attempt(1010, 1090), attempt(1030, 1080)], Rule::TwoAtOnce)]
+#[case::four_attempts(vec![attempt(1010, 1020), attempt(1030, 1040), attempt(1050, 1060), attempt(1070, 1080)], Rule::TooManyAttempts)]
+#[case::overlapping(vec![attempt(1010, 1090), attempt(1030, 1080)], Rule::OverlappingAttempts)]
 #[case::after_its_end(vec![attempt(1310, 1320)], Rule::AttemptAfterEnd)]
 #[case::before_it_was_sent(vec![attempt(900, 950)], Rule::UnknownRequest)]
-#[case::too_much_time(vec![Attempt { told: ms(1250), ..attempt(1010, 1090) }], Rule::DeadlineTooLong)]
-#[case::of_nobody(vec![Attempt { id: "z".into(), ..attempt(1010, 1090) }], Rule::UnknownRequest)]
-fn a_forged_attempt_is_found(#[case] attempts: Vec<Attempt>, #[case] rule: Rule) {
+#[case::timeout_too_long(vec![Attempt { forwarded_timeout: ms(1250), ..attempt(1010, 1090) }], Rule::DeadlineTooLong)]
+#[case::unknown_request(vec![Attempt { id: "z".into(), ..attempt(1010, 1090) }], Rule::UnknownRequest)]
+fn forged_attempt_is_found(#[case] attempts: Vec<Attempt>, #[case] rule: Rule) {
     let record = Record {
         attempts,
         ..sound()
@@ -143,14 +143,14 @@
 }
 
 #[test]
-fn an_attempt_after_its_client_left_is_found() {
+fn attempt_after_disconnect_is_found() {
     let mut record = Record {
-        deliveries: vec![delivery(DeliveryEnd::Left)],
+        deliveries: vec![delivery(DeliveryEnd::Disconnected)],
         ..sound()
     };
     record.attempts = vec![attempt(1320, 1350)];
-    assert_eq!(rules(&record), [Rule::AttemptAfterLeaving]);
-    // a request that was sent once more has its attempts then
+    assert_eq!(rules(&record), [Rule::AttemptAfterDisconnect]);
+    // a request that is delivered once more has its attempts then
     record.deliveries[0].end = DeliveryEnd::ClosedUnread;
     record.deliveries.push(Delivery {
         sent: ms(1310),
--- a/tests/faults/client_action.rs
+++ b/tests/faults/client_action.rs
@@ -1,47 +1,49 @@
-//! What a client may do next.
+//! What a client does next, drawn at random.
 
 use std::time::Duration;
 
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-/// The router closes a silent connection after this.
-const IDLE: Duration = Duration::from_secs(2);
-/// What a client does next.
+/// The router closes an idle connection after this.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// A client's next step on its connection.
 #[derive(Clone, Copy, Debug)]
-pub enum Move {
-    /// Asks, and waits for the answer.
-    Ask,
+pub enum ClientAction {
+    /// Sends a request and waits for the answer.
+    Request,
     /// Writes several requests at once.
     Pipeline(usize),
-    /// Rests for about as long as the router keeps a silent connection, and asks.
-    RestAndAsk(Duration),
+    /// Stays idle for about as long as the router keeps an idle connection, and sends a request.
+    RequestAfterIdle(Duration),
     /// Writes in pieces, each so long after the last.
-    Pieces(Duration),
-    /// Asks and closes the connection so long after it.
-    Leave(Duration),
-    /// Asks and ends its side of the connection so long after it.
+    WriteInPieces(Duration),
+    /// Sends a request and closes the connection so long after it.
+    Disconnect(Duration),
+    /// Sends a request and shuts its side of the connection down so long after it.
     HalfClose(Duration),
     /// Writes half a request and closes the connection.
-    Half,
-    /// Asks with a large body.
-    Large(usize),
+    HalfRequest,
+    /// Sends a request with a body of so many KiB.
+    LargeRequest(usize),
 }
 
-impl Move {
-    pub fn draw(rng: &mut StdRng) -> Move {
+impl ClientAction {
+    pub fn draw(rng: &mut StdRng) -> ClientAction {
         let wait = Duration::from_millis(rng.random_range(0..150));
         match rng.random_range(0..100) {
-            0..40 => Move::Ask,
-            40..55 => Move::Pipeline(rng.random_range(2..5)),
-            55..63 => Move::RestAndAsk(
-                IDLE + Duration::from_micros(rng.random_range(0..6_000)) - Duration::from_millis(3),
+            0..40 => ClientAction::Request,
+            40..55 => ClientAction::Pipeline(rng.random_range(2..5)),
+            55..63 => ClientAction::RequestAfterIdle(
+                IDLE_TIMEOUT + Duration::from_micros(rng.random_range(0..6_000))
+                    - Duration::from_millis(3),
             ),
-            63..73 => Move::Pieces(wait / 10),
-            73..83 => Move::Leave(wait),
-            83..88 => Move::HalfClose(wait),
-            88..93 => Move::Half,
-            _ => Move::Large(rng.random_range(40..200)),
+            63..73 => ClientAction::WriteInPieces(wait / 10),
+            73..83 => ClientAction::Disconnect(wait),
+            83..88 => ClientAction::HalfClose(wait),
+            88..93 => ClientAction::HalfRequest,
+            _ => ClientAction::LargeRequest(rng.random_range(40..200)),
         }
     }
 }
--- a/tests/faults/failing_calls.rs
+++ b/tests/faults/failing_calls.rs
@@ -1,5 +1,4 @@
-//! Which system calls of a play's routers fail, drawn from its seed: as often as a busy system's
-//! do.
+//! Which system calls of a run's routers fail, drawn from its seed: as often as on a busy system.
 
 use std::time::Duration;
 
@@ -8,10 +7,10 @@
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 
-/// Keeps these draws apart from the play's own, so that a seed's schedule is the same with and
-/// without.
+/// Makes these draws independent of the run's others, so that a seed has the same schedule with and
+/// without failing calls.
 const SALT: u64 = 0x5e_ed0f_ca11;
-/// Each fault is in a play with this chance.
+/// Probability of each fault in a run.
 const CHANCE: f64 = 0.6;
 /// Rates are drawn from this range.
 const RATES: std::ops::Range<f64> = 0.005..0.02;
@@ -47,7 +46,7 @@
     (Call::Socket, &[errno::ENFILE, errno::EMFILE]),
 ];
 
-/// The rules of a seed. Transfers are interrupted or short in every play.
+/// The rules of a seed. Transfers are interrupted or short in every run.
 pub fn draw_rules(seed: u64) -> Vec<Rule> {
     let mut rng = StdRng::seed_from_u64(seed ^ SALT);
     let mut rules = Vec::new();
--- a/tests/faults/http.rs
+++ b/tests/faults/http.rs
@@ -1,19 +1,19 @@
-//! HTTP/1.1 as the peers need it, on blocking sockets. Written apart from the router's own.
+//! HTTP/1.1 for the peers, on blocking sockets; independent of the router's implementation.
 
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Room for one read.
-const READ: usize = 16 << 10;
+/// Size of the buffer of one read, in bytes.
+const READ_SIZE: usize = 16 << 10;
 
-/// A connection, and what has been read of it and not used.
+/// A connection, and the bytes read from it that are not parsed yet.
 pub struct Connection {
     pub stream: TcpStream,
     unused: Vec<u8>,
 }
 
-/// What a read came to.
+/// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     More,
@@ -21,8 +21,8 @@
     Closed,
     /// The connection was reset.
     Reset,
-    /// Nothing came in time.
-    Silent,
+    /// Nothing arrived in time.
+    TimedOut,
 }
 
 /// A message's head: its first line, and its other lines.
@@ -58,13 +58,13 @@
     }
 }
 
-/// A message as far as it came.
+/// A message as far as it arrived.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub head: Head,
     pub body: Vec<u8>,
-    pub whole: bool,
-    /// When its first bytes were there.
+    pub complete: bool,
+    /// When its first bytes arrived.
     pub began: Instant,
 }
 
@@ -77,36 +77,36 @@
         }
     }
 
-    /// Whether there are bytes that nothing has asked for.
+    /// Whether bytes arrived that belong to no message.
     pub fn has_unused(&self) -> bool {
         !self.unused.is_empty()
     }
 
-    /// Reads more, until this instant.
-    pub fn read(&mut self, until: Instant) -> Progress {
-        let left = until
+    /// Reads more bytes, until this instant.
+    pub fn read(&mut self, deadline: Instant) -> Progress {
+        let left = deadline
             .saturating_duration_since(Instant::now())
             .max(Duration::from_millis(1));
         let _ = self.stream.set_read_timeout(Some(left));
-        let mut room = [0; READ];
-        match self.stream.read(&mut room) {
+        let mut buffer = [0; READ_SIZE];
+        match self.stream.read(&mut buffer) {
             Ok(0) => Progress::Closed,
             Ok(n) => {
-                self.unused.extend_from_slice(&room[..n]);
+                self.unused.extend_from_slice(&buffer[..n]);
                 Progress::More
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                Progress::Silent
+                Progress::TimedOut
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => Progress::More,
             Err(_) => Progress::Reset,
         }
     }
 
-    /// Reads a message; how the connection stands where none begins.
-    pub fn message(&mut self, until: Instant) -> Result<Message, Progress> {
+    /// Reads a message; the state of the connection where no complete head arrives.
+    pub fn message(&mut self, deadline: Instant) -> Result<Message, Progress> {
         while self.unused.is_empty() {
-            match self.read(until) {
+            match self.read(deadline) {
                 Progress::More => {}
                 other => return Err(other),
             }
@@ -116,7 +116,7 @@
             if let Some(at) = self.unused.windows(4).position(|four| four == b"\r\n\r\n") {
                 break at;
             }
-            match self.read(until) {
+            match self.read(deadline) {
                 Progress::More => {}
                 other => return Err(other),
             }
@@ -124,22 +124,22 @@
         let text: Vec<u8> = self.unused.drain(..end + 4).collect();
         let head = Head::parse(&String::from_utf8_lossy(&text[..end]));
         let mut body = Vec::new();
-        let whole = match head.get("content-length").and_then(|n| n.parse().ok()) {
-            Some(length) => self.bytes(length, &mut body, until),
-            None if head.get("transfer-encoding").is_some() => self.chunks(&mut body, until),
+        let complete = match head.get("content-length").and_then(|n| n.parse().ok()) {
+            Some(length) => self.bytes(length, &mut body, deadline),
+            None if head.get("transfer-encoding").is_some() => self.chunks(&mut body, deadline),
             None => true,
         };
         Ok(Message {
             head,
             body,
-            whole,
+            complete,
             began,
         })
     }
 
-    fn bytes(&mut self, length: usize, into: &mut Vec<u8>, until: Instant) -> bool {
+    fn bytes(&mut self, length: usize, into: &mut Vec<u8>, deadline: Instant) -> bool {
         while self.unused.len() < length {
-            if self.read(until) != Progress::More {
+            if self.read(deadline) != Progress::More {
                 into.append(&mut self.unused);
                 return false;
             }
@@ -148,15 +148,15 @@
         true
     }
 
-    fn chunks(&mut self, into: &mut Vec<u8>, until: Instant) -> bool {
+    fn chunks(&mut self, into: &mut Vec<u8>, deadline: Instant) -> bool {
         loop {
             let Some(size) = self
-                .line(until)
+                .line(deadline)
                 .and_then(|line| usize::from_str_radix(&line, 16).ok())
             else {
                 return false;
             };
-            if !self.bytes(size, into, until) || self.line(until).is_none() {
+            if !self.bytes(size, into, deadline) || self.line(deadline).is_none() {
                 return false;
             }
             if size == 0 {
@@ -165,13 +165,13 @@
         }
     }
 
-    fn line(&mut self, until: Instant) -> Option<String> {
+    fn line(&mut self, deadline: Instant) -> Option<String> {
         loop {
             if let Some(at) = self.unused.windows(2).position(|two| two == b"\r\n") {
                 let line: Vec<u8> = self.unused.drain(..at + 2).collect();
                 return Some(String::from_utf8_lossy(&line[..at]).into_owned());
             }
-            if self.read(until) != Progress::More {
+            if self.read(deadline) != Progress::More {
                 return None;
             }
         }
--- a/tests/faults/record.rs
+++ b/tests/faults/record.rs
@@ -1,8 +1,8 @@
-//! What the peers of the routers saw in a play. Times are counted from the play's start.
+//! What the peers of the routers observed in a run. Times are counted from the start of the run.
 
 use std::time::Duration;
 
-/// All that was seen.
+/// All that the peers observed.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     pub deliveries: Vec<Delivery>,
@@ -10,17 +10,18 @@
     pub outages: Vec<Outage>,
 }
 
-/// A whole request as a client wrote it once, and what came of it.
+/// A complete request as a client wrote it once, and how it ended.
 #[derive(Clone, Debug)]
 pub struct Delivery {
     pub id: String,
     pub router: usize,
     /// When its last byte had been written.
     pub sent: Duration,
-    /// When the answer before it on its connection had come whole; it can't be answered before.
+    /// When the previous answer on its connection was complete; it can't be answered before.
     pub turn: Duration,
-    pub patience: Duration,
-    /// When the first bytes of its answer came, or it ended without.
+    /// The time that it gave the router.
+    pub timeout: Duration,
+    /// When the first bytes of its answer arrived, or when it ended without any.
     pub began: Duration,
     pub ended: Duration,
     pub end: DeliveryEnd,
@@ -29,51 +30,51 @@
 /// How a delivery ended, as its client saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DeliveryEnd {
-    /// A stream to its proper end, made for the request of this id.
+    /// A complete stream, made for the request of this id.
     Answered { made_for: Option<String> },
-    /// A stream that began and was cut.
-    Cut { made_for: Option<String> },
+    /// A stream that began and broke off.
+    Truncated { made_for: Option<String> },
     /// An answer with another status.
-    Declined(u16),
-    /// The client left; nothing is owed to it.
-    Left,
+    ErrorStatus(u16),
+    /// The client disconnected: no answer is required.
+    Disconnected,
     /// The connection ended without an answer, and the router had not read all of what was written.
     ClosedUnread,
     /// The connection ended without an answer, and the router had read all of it.
     ReadAndClosed,
-    /// Nothing came for far longer than the client waits.
-    Silent,
-    /// Bytes came that are no answer.
-    Garbled,
+    /// Nothing arrived for far longer than the client waits.
+    TimedOut,
+    /// Bytes arrived that are no answer.
+    Malformed,
 }
 
 /// A request as a model server saw it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub id: String,
-    /// When its first byte was there.
+    /// When its first byte arrived.
     pub began: Duration,
-    /// The time that the server was told.
-    pub told: Duration,
-    /// When the server was done with it, or the router had given it up.
-    pub over: Duration,
+    /// The time that the router gave the server.
+    pub forwarded_timeout: Duration,
+    /// When the server had answered it, or the router had cancelled it.
+    pub ended: Duration,
     pub end: AttemptEnd,
 }
 
 /// How an attempt ended, as its server saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Answered to the end.
-    Whole,
+    /// Answered completely.
+    Complete,
     /// The server broke off within the stream.
-    CutByServer,
+    TruncatedByServer,
     /// Answered with an error, or broken off ahead of the stream.
-    Declined,
-    /// The router gave it up.
-    GivenUp,
+    Failed,
+    /// The router cancelled it.
+    Cancelled,
 }
 
-/// A time in which a router's process was not itself.
+/// A time in which a router's process was stopped or killed.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
     pub router: usize,
@@ -82,7 +83,7 @@
     pub until: Duration,
 }
 
-/// What had been done to the process.
+/// What was done to the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageKind {
     /// SIGSTOP until SIGCONT.
@@ -92,7 +93,7 @@
 }
 
 impl Record {
-    /// For how much of this time the router was stopped.
+    /// How long the router was stopped within this time.
     pub fn stopped(&self, router: usize, from: Duration, until: Duration) -> Duration {
         let stops = self
             .outages
--- a/tests/faults/seed_run.rs
+++ b/tests/faults/seed_run.rs
@@ -1,8 +1,8 @@
-//! A play: routers as processes, their peers, and what a seed does to them.
+//! One run of a seed: routers as processes, their peers, and the faults drawn from the seed.
 
 use std::path::Path;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::{JoinHandle, spawn};
 use std::time::{Duration, Instant};
 
@@ -16,103 +16,50 @@
 
 use super::clients::Client;
 use super::failing_calls::draw_rules;
-use super::record::{Attempt, AttemptEnd, Delivery, Outage, OutageKind, Record};
+use super::record::{OutageKind, Record};
+use super::recorder::Recorder;
 use super::servers::Server;
 
-/// Clients ask for so long.
+/// Clients send requests for so long.
 const LENGTH: Duration = Duration::from_secs(5);
 /// Clients of a router.
 const CLIENTS: usize = 8;
-/// A process that was told to end is killed after this.
-const GRACE: Duration = Duration::from_millis(3700);
+/// A terminated process is killed after this.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(3700);
 
-/// Takes in what the peers see.
-pub struct Recorder {
-    start: Instant,
-    record: Mutex<Record>,
-    watches: Mutex<Vec<JoinHandle<()>>>,
-}
-
-fn held<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
-impl Recorder {
-    fn new() -> Recorder {
-        Recorder {
-            start: Instant::now(),
-            record: Mutex::default(),
-            watches: Mutex::default(),
-        }
-    }
-
-    /// An instant on the play's clock.
-    pub fn at(&self, instant: Instant) -> Duration {
-        instant.saturating_duration_since(self.start)
-    }
-
-    pub fn deliver(&self, delivery: Delivery) {
-        held(&self.record).deliveries.push(delivery);
-    }
-
-    /// Records an attempt that begins; its place.
-    pub fn begin(&self, attempt: Attempt) -> usize {
-        let mut record = held(&self.record);
-        record.attempts.push(attempt);
-        record.attempts.len() - 1
-    }
-
-    pub fn end(&self, attempt: usize, end: AttemptEnd, at: Instant) {
-        let attempt = &mut held(&self.record).attempts[attempt];
-        (attempt.end, attempt.over) = (end, self.at(at));
-    }
-
-    /// Takes in a thread that still has something to record.
-    pub fn watch(&self, thread: JoinHandle<()>) {
-        held(&self.watches).push(thread);
-    }
-
-    fn outage(&self, router: usize, kind: OutageKind, from: Instant) {
-        let outage = Outage {
-            router,
-            kind,
-            from: self.at(from),
-            until: self.at(Instant::now()),
-        };
-        held(&self.record).outages.push(outage);
-    }
-}
-
-/// What is done to a router's process.
+/// A fault of a router's process.
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum ProcessFault {
+    /// SIGSTOP, and SIGCONT after so long.
     Stop(Duration),
+    /// SIGKILL and a restart.
     Kill,
-    End,
+    /// SIGTERM, SIGKILL after `SHUTDOWN_GRACE`, and a restart.
+    Terminate,
 }
 
-/// How the system calls of the routers go.
+/// Whether system calls of the routers fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCalls {
     Sound,
-    /// Some fail, as the seed has it.
+    /// Some fail, drawn from the seed.
     Failing,
 }
 
-/// What came of a play.
-pub struct Played {
+/// The result of a run.
+pub struct SeedRun {
     pub record: Record,
     /// System calls that were made to fail.
     pub failed_calls: u64,
 }
 
-/// Plays a seed with processes of this program.
-pub async fn play(seed: u64, program: &Path, calls: SystemCalls) -> Result<Played, LabError> {
+/// Runs a seed with processes of this program.
+pub async fn run_seed(seed: u64, program: &Path, calls: SystemCalls) -> Result<SeedRun, LabError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let folder = tempfile::tempdir()?;
-    let (recorder, over) = (Arc::new(Recorder::new()), Arc::new(AtomicBool::new(false)));
+    let (recorder, stop) = (Arc::new(Recorder::new()), Arc::new(AtomicBool::new(false)));
     let servers: Vec<Server> = (0..4)
-        .map(|n| Server::start(seed * 100 + n, recorder.clone(), over.clone()))
+        .map(|n| Server::start(seed * 100 + n, recorder.clone(), stop.clone()))
         .collect();
     let addresses: Vec<_> = servers.iter().map(|server| server.address).collect();
     let routers = rng.random_range(3..=6);
@@ -134,6 +81,32 @@
         injections.extend(injection);
     }
     let until = Instant::now() + LENGTH;
+    let clients = start_clients(&processes, &mut rng, &recorder, until);
+    let faults = processes.into_iter().enumerate().map(|(router, process)| {
+        let rng = StdRng::seed_from_u64(rng.random());
+        inject_faults(router, process, rng, until, recorder.clone())
+    });
+    let processes = futures_util::future::try_join_all(faults).await?;
+    wait_for(&clients).await;
+    wait_for(&recorder.take_watches()).await;
+    stop.store(true, Ordering::Relaxed);
+    drop((processes, discovery));
+    for server in servers {
+        server.join();
+    }
+    Ok(SeedRun {
+        record: recorder.record(),
+        failed_calls: count_failed_calls(injections)?,
+    })
+}
+
+/// Starts the clients of each router, with seeds drawn in the routers' order.
+fn start_clients(
+    processes: &[Process],
+    rng: &mut StdRng,
+    recorder: &Arc<Recorder>,
+    until: Instant,
+) -> Vec<JoinHandle<()>> {
     let mut clients = Vec::new();
     for (router, process) in processes.iter().enumerate() {
         for number in 0..CLIENTS {
@@ -148,25 +121,18 @@
             clients.push(spawn(move || client.run(seed)));
         }
     }
-    let acts = processes.into_iter().enumerate().map(|(router, process)| {
-        let rng = StdRng::seed_from_u64(rng.random());
-        trouble(router, process, rng, until, recorder.clone())
-    });
-    let processes = futures_util::future::try_join_all(acts).await?;
-    while clients.iter().any(|client| !client.is_finished()) {
+    clients
+}
+
+/// Waits until all of these threads have finished, without blocking the runtime.
+async fn wait_for(threads: &[JoinHandle<()>]) {
+    while threads.iter().any(|thread| !thread.is_finished()) {
         sleep(Duration::from_millis(20)).await;
     }
-    let watches = std::mem::take(&mut *held(&recorder.watches));
-    for thread in watches {
-        while !thread.is_finished() {
-            sleep(Duration::from_millis(20)).await;
-        }
-    }
-    over.store(true, Ordering::Relaxed);
-    drop((processes, discovery));
-    for server in servers {
-        server.join();
-    }
+}
+
+/// System calls that were made to fail in all processes together.
+fn count_failed_calls(injections: Vec<Injection>) -> Result<u64, LabError> {
     let mut failed_calls = 0;
     for injection in injections {
         failed_calls += injection
@@ -175,15 +141,11 @@
             .map(|(_, count)| count)
             .sum::<u64>();
     }
-    let record = held(&recorder.record).clone();
-    Ok(Played {
-        record,
-        failed_calls,
-    })
+    Ok(failed_calls)
 }
 
-/// Does to one router what its draws say, until the clients' time is over.
-async fn trouble(
+/// Injects random faults into one router until the clients stop.
+async fn inject_faults(
     router: usize,
     mut process: Process,
     mut rng: StdRng,
@@ -195,34 +157,34 @@
         if Instant::now() >= until {
             return Ok(process);
         }
-        let act = match rng.random_range(0..10) {
-            0..6 => Act::Stop(Duration::from_millis(rng.random_range(50..900))),
-            6..7 => Act::Kill,
-            _ => Act::End,
+        let fault = match rng.random_range(0..10) {
+            0..6 => ProcessFault::Stop(Duration::from_millis(rng.random_range(50..900))),
+            6..7 => ProcessFault::Kill,
+            _ => ProcessFault::Terminate,
         };
         let from = Instant::now();
-        match act {
-            Act::Stop(long) => {
+        match fault {
+            ProcessFault::Stop(duration) => {
                 process.stop()?;
-                sleep(long).await;
+                sleep(duration).await;
                 process.wake()?;
-                recorder.outage(router, OutageKind::Stopped, from);
+                recorder.record_outage(router, OutageKind::Stopped, from);
             }
-            Act::Kill => {
+            ProcessFault::Kill => {
                 process.restart()?;
                 process.ready().await?;
-                recorder.outage(router, OutageKind::Killed, from);
+                recorder.record_outage(router, OutageKind::Killed, from);
             }
-            Act::End => {
+            ProcessFault::Terminate => {
                 process.terminate()?;
-                while !process.ended() && from.elapsed() < GRACE {
+                while !process.ended() && from.elapsed() < SHUTDOWN_GRACE {
                     sleep(Duration::from_millis(5)).await;
                 }
                 let late = Instant::now();
                 process.restart()?;
                 process.ready().await?;
-                if late - from >= GRACE {
-                    recorder.outage(router, OutageKind::Killed, late);
+                if late - from >= SHUTDOWN_GRACE {
+                    recorder.record_outage(router, OutageKind::Killed, late);
                 }
             }
         }
--- a/tests/faults/servers.rs
+++ b/tests/faults/servers.rs
@@ -1,5 +1,5 @@
-//! Model servers that answer, break off, answer twice or fall silent, as the seed has it, and keep
-//! a record.
+//! Model servers that answer, break off, answer twice or hang, drawn from the seed, and keep a
+//! record.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,12 +13,12 @@
 
 use super::http::{Connection, Message, Progress};
 use super::record::{Attempt, AttemptEnd};
-use super::seed_run::Recorder;
+use super::recorder::Recorder;
 
-/// A server looks so often whether the play is over.
-const LOOK: Duration = Duration::from_millis(50);
-/// A server that falls silent does so for so long.
-const SILENCE: Duration = Duration::from_secs(4);
+/// Interval at which a server checks whether the run is over.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a hanging server says nothing.
+const HANG: Duration = Duration::from_secs(4);
 const STREAM: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -28,15 +28,15 @@
     /// Answers after so long with so many events.
     Answer { first: Duration, events: u32 },
     /// The same, with a second answer so long after the first.
-    Twice { first: Duration, later: Duration },
+    AnswerTwice { first: Duration, later: Duration },
     /// Answers, and closes the connection so long after it.
     CloseAfter { first: Duration, later: Duration },
-    /// Breaks off after so many events; none means ahead of the head.
-    BreakOff { first: Duration, events: u32 },
+    /// Breaks off after so many events; 0 means ahead of the head.
+    Truncate { first: Duration, events: u32 },
     /// Answers 500, or 503 with `X-Never-Ran`.
-    Decline { never_ran: bool },
-    /// Says nothing.
-    Silent,
+    Reject { never_ran: bool },
+    /// Sends nothing for `HANG`, then closes.
+    Hang,
 }
 
 impl Behaviour {
@@ -49,13 +49,13 @@
                 first,
                 events: events + 1,
             },
-            60..70 => Behaviour::Twice { first, later },
+            60..70 => Behaviour::AnswerTwice { first, later },
             70..80 => Behaviour::CloseAfter { first, later },
-            80..90 => Behaviour::BreakOff { first, events },
-            90..95 => Behaviour::Decline {
+            80..90 => Behaviour::Truncate { first, events },
+            90..95 => Behaviour::Reject {
                 never_ran: events > 3,
             },
-            _ => Behaviour::Silent,
+            _ => Behaviour::Hang,
         }
     }
 }
@@ -67,20 +67,20 @@
 }
 
 impl Server {
-    pub fn start(seed: u64, recorder: Arc<Recorder>, over: Arc<AtomicBool>) -> Server {
+    pub fn start(seed: u64, recorder: Arc<Recorder>, stop: Arc<AtomicBool>) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port");
         let address = listener.local_addr().expect("its address");
         listener.set_nonblocking(true).expect("not blocking");
         let thread = spawn(move || {
             let mut connections = Vec::new();
-            while !over.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 let Ok((stream, _)) = listener.accept() else {
                     sleep(Duration::from_millis(1));
                     continue;
                 };
                 let seed = seed.wrapping_add(connections.len() as u64 * 7919);
-                let (recorder, over) = (recorder.clone(), over.clone());
-                connections.push(spawn(move || serve(stream, seed, &recorder, &over)));
+                let (recorder, stop) = (recorder.clone(), stop.clone());
+                connections.push(spawn(move || serve(stream, seed, &recorder, &stop)));
             }
             for connection in connections {
                 let _ = connection.join();
@@ -94,20 +94,20 @@
     }
 }
 
-fn serve(stream: TcpStream, seed: u64, recorder: &Recorder, over: &AtomicBool) {
+fn serve(stream: TcpStream, seed: u64, recorder: &Recorder, stop: &AtomicBool) {
     let _ = stream.set_nonblocking(false);
     let mut rng = StdRng::seed_from_u64(seed);
     let mut connection = Connection::new(stream);
-    while !over.load(Ordering::Relaxed) {
-        match connection.message(Instant::now() + LOOK) {
-            Ok(message) if message.whole => {
+    while !stop.load(Ordering::Relaxed) {
+        match connection.message(Instant::now() + STOP_CHECK_INTERVAL) {
+            Ok(message) if message.complete => {
                 let behaviour = Behaviour::draw(&mut rng);
                 if !answer(&mut connection, &message, behaviour, recorder) {
                     return;
                 }
             }
-            Err(Progress::Silent) => {}
-            // a request that is cut short has not run
+            Err(Progress::TimedOut) => {}
+            // an incomplete request has not run
             _ => return,
         }
     }
@@ -125,7 +125,7 @@
         .get("x-trace-id")
         .unwrap_or_default()
         .to_string();
-    let told = request
+    let forwarded_timeout = request
         .head
         .get("x-expires-in-ms")
         .and_then(|ms| ms.parse().ok())
@@ -133,13 +133,13 @@
     let attempt = recorder.begin(Attempt {
         id: id.clone(),
         began: recorder.at(request.began),
-        told: Duration::from_millis(told),
-        over: Duration::MAX,
-        end: AttemptEnd::GivenUp,
+        forwarded_timeout: Duration::from_millis(forwarded_timeout),
+        ended: Duration::MAX,
+        end: AttemptEnd::Cancelled,
     });
-    let (end, open) = act(connection, &id, behaviour);
+    let (end, open) = execute(connection, &id, behaviour);
     recorder.end(attempt, end, Instant::now());
-    if let (true, Behaviour::Twice { later, .. }) = (open, behaviour) {
+    if let (true, Behaviour::AnswerTwice { later, .. }) = (open, behaviour) {
         sleep(later);
         return write(
             connection,
@@ -153,22 +153,22 @@
     open
 }
 
-/// What becomes of the attempt, and whether the connection stays open.
-fn act(connection: &mut Connection, id: &str, behaviour: Behaviour) -> (AttemptEnd, bool) {
+/// Executes a behaviour: how the attempt ends, and whether the connection stays open.
+fn execute(connection: &mut Connection, id: &str, behaviour: Behaviour) -> (AttemptEnd, bool) {
     let (first, count) = match behaviour {
-        Behaviour::Answer { first, events } | Behaviour::BreakOff { first, events } => {
+        Behaviour::Answer { first, events } | Behaviour::Truncate { first, events } => {
             (first, events)
         }
-        Behaviour::Twice { first, .. } | Behaviour::CloseAfter { first, .. } => (first, 2),
-        Behaviour::Decline { .. } => (Duration::ZERO, 0),
-        Behaviour::Silent => (SILENCE, 0),
+        Behaviour::AnswerTwice { first, .. } | Behaviour::CloseAfter { first, .. } => (first, 2),
+        Behaviour::Reject { .. } => (Duration::ZERO, 0),
+        Behaviour::Hang => (HANG, 0),
     };
-    if !rest(connection, first) {
-        return (AttemptEnd::GivenUp, false);
+    if !wait(connection, first) {
+        return (AttemptEnd::Cancelled, false);
     }
     match behaviour {
-        Behaviour::Silent => (AttemptEnd::Declined, false),
-        Behaviour::Decline { never_ran } => {
+        Behaviour::Hang => (AttemptEnd::Failed, false),
+        Behaviour::Reject { never_ran } => {
             let head = if never_ran {
                 "503 Service Unavailable\r\nX-Never-Ran: 1"
             } else {
@@ -178,9 +178,9 @@
                 connection,
                 &format!("HTTP/1.1 {head}\r\nContent-Length: 2\r\n\r\nno"),
             );
-            (AttemptEnd::Declined, open)
+            (AttemptEnd::Failed, open)
         }
-        Behaviour::BreakOff { events: 0, .. } => (AttemptEnd::Declined, false),
+        Behaviour::Truncate { events: 0, .. } => (AttemptEnd::Failed, false),
         _ => {
             for n in 0..count {
                 let text = if n == 0 {
@@ -188,21 +188,21 @@
                 } else {
                     events(id, 1)
                 };
-                if !write(connection, &text) || !rest(connection, Duration::from_millis(3)) {
-                    return (AttemptEnd::GivenUp, false);
+                if !write(connection, &text) || !wait(connection, Duration::from_millis(3)) {
+                    return (AttemptEnd::Cancelled, false);
                 }
             }
-            if matches!(behaviour, Behaviour::BreakOff { .. }) {
-                return (AttemptEnd::CutByServer, false);
+            if matches!(behaviour, Behaviour::Truncate { .. }) {
+                return (AttemptEnd::TruncatedByServer, false);
             }
-            let whole = write(connection, "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
+            let complete = write(connection, "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
             (
-                if whole {
-                    AttemptEnd::Whole
+                if complete {
+                    AttemptEnd::Complete
                 } else {
-                    AttemptEnd::GivenUp
+                    AttemptEnd::Cancelled
                 },
-                whole,
+                complete,
             )
         }
     }
@@ -218,12 +218,12 @@
     connection.stream.write_all(text.as_bytes()).is_ok()
 }
 
-/// Waits; whether the router is still there.
-fn rest(connection: &mut Connection, long: Duration) -> bool {
-    let until = Instant::now() + long;
+/// Waits; whether the router keeps the connection open.
+fn wait(connection: &mut Connection, duration: Duration) -> bool {
+    let until = Instant::now() + duration;
     while Instant::now() < until {
         match connection.read(until) {
-            Progress::Silent => return true,
+            Progress::TimedOut => return true,
             Progress::More => {}
             Progress::Closed | Progress::Reset => return false,
         }
