--- a/tests/common/bystander.rs
+++ b/tests/common/bystander.rs
@@ -6,7 +6,7 @@
 
 use super::peers::*;
 
-/// What may pass until a client observes what the router did, on a busy machine.
+/// Time until a client observes what the router did, on a busy machine.
 pub const SLACK: Duration = Duration::from_millis(400);
 
 /// Another client of the same router, which sends requests until it is stopped.
@@ -16,7 +16,7 @@
 }
 
 impl Bystander {
-    /// Begins to send requests.
+    /// Starts to send requests.
     pub fn start(router: &Router) -> Bystander {
         let (stop, mut stopped) = tokio::sync::oneshot::channel();
         let address = router.platform.clone();
--- a/tests/common/injected.rs
+++ b/tests/common/injected.rs
@@ -1,5 +1,5 @@
-//! A router's process under the fault injector, two scripted model servers, and live requests to
-//! it.
+//! A router's process under the fault injector, two scripted model servers, and clients that send
+//! requests to it.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -20,21 +20,22 @@
 
 /// Events of an answer, each with the request's id as its text.
 const EVENTS: usize = 20;
-/// A server closes its connection after so many answers, so that others are opened all the time.
+/// A server closes its connection after so many answers, so that connections are opened all the
+/// time.
 const ANSWERS_PER_CONNECTION: usize = 4;
-/// The same for clients.
+/// A client opens a new connection after so many requests.
 const REQUESTS_PER_CONNECTION: usize = 3;
 /// The last event of an answer.
 const DONE: &str = "data: [DONE]\n\n";
-/// Bytes of a request's body beside its few fields.
+/// Length of a request's `pad` field, in bytes.
 const PADDING: usize = 2_000;
-/// A client waits for so long beyond a request's deadline.
-const BEYOND: Duration = Duration::from_secs(5);
-/// Requests that were not sent after so long are lost.
-const BUDGET: Duration = Duration::from_secs(30);
+/// A client waits for so long beyond a request's timeout.
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
+/// Requests that are not sent within this time are not attempted.
+const TIME_LIMIT: Duration = Duration::from_secs(30);
 const SEED: u64 = 47;
 
-/// The router, its peers and what it suffers. Its process goes first when it is dropped.
+/// The router, its peers and its fault injection. The process is dropped first.
 pub struct InjectedRouter {
     pub process: Process,
     pub injection: Injection,
@@ -44,12 +45,12 @@
 }
 
 impl InjectedRouter {
-    /// A router that is ready; its calls fail from when the injection is armed.
+    /// A router that is ready; its system calls fail once the injection is armed.
     pub async fn start(rules: &[Rule]) -> InjectedRouter {
         InjectedRouter::start_with_clock(rules, 0).await
     }
 
-    /// The same, with a wall clock that is off by so many milliseconds.
+    /// The same with a wall clock that is off by so many milliseconds.
     pub async fn start_with_clock(rules: &[Rule], offset: i64) -> InjectedRouter {
         let servers = vec![echo_server().await, echo_server().await];
         let addresses: Vec<SocketAddr> =
@@ -81,12 +82,17 @@
         }
     }
 
-    /// So many clients with so many requests each, one after the other.
-    pub async fn live_requests(&self, clients: usize, each: usize, patience: Duration) -> Ends {
-        let until = Instant::now() + BUDGET;
+    /// So many concurrent clients, each with so many requests one after the other.
+    pub async fn live_requests(
+        &self,
+        clients: usize,
+        each: usize,
+        request_timeout: Duration,
+    ) -> RequestEnds {
+        let until = Instant::now() + TIME_LIMIT;
         let address = self.process.listen.to_string();
-        let clients = (0..clients).map(|_| client_requests(&address, each, patience, until));
-        let mut ends = Ends::default();
+        let clients = (0..clients).map(|_| client_requests(&address, each, request_timeout, until));
+        let mut ends = RequestEnds::default();
         for end in futures_util::future::join_all(clients)
             .await
             .into_iter()
@@ -101,42 +107,41 @@
 /// How a request ended, as its client saw it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestEnd {
-    /// The whole answer, made for it.
-    Whole,
+    /// The complete answer, made for it.
+    Complete,
     /// An answer with another status.
-    Refused(u16),
-    /// A stream that was cut, or was not made for it.
-    Garbled,
+    ErrorStatus(u16),
+    /// A stream that broke off, or was not made for it.
+    Malformed,
     /// The connection closed without an answer.
     Closed,
     /// No connection, or it was closed before the request was written.
     NotSent,
-    /// Nothing came, far beyond its deadline.
-    Silent,
+    /// Nothing arrived, far beyond its timeout.
+    TimedOut,
     /// The time for all requests was over.
-    NotAsked,
+    NotAttempted,
 }
 
-/// How many requests ended how.
+/// Counts of requests by how they ended.
 #[derive(Debug, Default)]
-pub struct Ends(BTreeMap<RequestEnd, usize>);
+pub struct RequestEnds(BTreeMap<RequestEnd, usize>);
 
-impl Ends {
+impl RequestEnds {
     pub fn count(&self, end: &RequestEnd) -> usize {
         self.0.get(end).copied().unwrap_or_default()
     }
 
-    /// Requests with a final answer that says that they failed in their time (502, 504) or were
-    /// refused (503).
+    /// Requests that were answered as failed (502, 504) or rejected (503).
     pub fn rejected(&self) -> usize {
         [502, 503, 504]
             .into_iter()
-            .map(|status| self.count(&RequestEnd::Refused(status)))
+            .map(|status| self.count(&RequestEnd::ErrorStatus(status)))
             .sum()
     }
 
-    /// Takes in those of other requests.
-    pub fn add(&mut self, others: Ends) {
+    /// Adds the counts of other requests.
+    pub fn add(&mut self, others: RequestEnds) {
         for (end, count) in others.0 {
             *self.0.entry(end).or_default() += count;
         }
@@ -163,60 +168,63 @@
 async fn client_requests(
     address: &str,
     each: usize,
-    patience: Duration,
+    request_timeout: Duration,
     until: Instant,
 ) -> Vec<RequestEnd> {
-    let (mut ends, mut kept) = (Vec::new(), None);
+    let (mut ends, mut reusable) = (Vec::new(), None);
     for number in 0..each {
         if Instant::now() >= until {
-            ends.push(RequestEnd::NotAsked);
+            ends.push(RequestEnd::NotAttempted);
             continue;
         }
         if number % REQUESTS_PER_CONNECTION == 0 {
-            kept = None;
+            reusable = None;
         }
-        let client = match kept.take() {
+        let client = match reusable.take() {
             Some(client) => client,
             None => Client::new(address).await,
         };
-        let (end, client) = ask(client, patience).await;
-        kept = client;
+        let (end, client) = send_request(client, request_timeout).await;
+        reusable = client;
         ends.push(end);
     }
     ends
 }
 
-/// Asks once; the connection, where it can be used again.
-async fn ask(mut client: Client, patience: Duration) -> (RequestEnd, Option<Client>) {
+/// Sends one request; the connection, where it can be used again.
+async fn send_request(
+    mut client: Client,
+    request_timeout: Duration,
+) -> (RequestEnd, Option<Client>) {
     let id = fresh_id();
     if client
         .stream
-        .write_all(&request(&id, patience))
+        .write_all(&request(&id, request_timeout))
         .await
         .is_err()
     {
         return (RequestEnd::NotSent, None);
     }
-    let got = match timeout(patience + BEYOND, client.answer()).await {
-        Err(_) => return (RequestEnd::Silent, None),
+    let got = match timeout(request_timeout + TIMEOUT_MARGIN, client.answer()).await {
+        Err(_) => return (RequestEnd::TimedOut, None),
         Ok(None) => return (RequestEnd::Closed, None),
         Ok(Some(got)) => got,
     };
     let end = end_of(&got, &id);
-    let open = end != RequestEnd::Garbled && got.head.get("connection") != Some("close");
+    let open = end != RequestEnd::Malformed && got.head.get("connection") != Some("close");
     (end, open.then_some(client))
 }
 
 fn end_of(got: &Got, id: &str) -> RequestEnd {
     let whole = got.whole && got.body.ends_with(DONE) && got.body.matches(id).count() == EVENTS;
     match got.head.status {
-        200 if whole => RequestEnd::Whole,
-        200 => RequestEnd::Garbled,
-        status => RequestEnd::Refused(status),
+        200 if whole => RequestEnd::Complete,
+        200 => RequestEnd::Malformed,
+        status => RequestEnd::ErrorStatus(status),
     }
 }
 
-fn request(id: &str, patience: Duration) -> Vec<u8> {
+fn request(id: &str, request_timeout: Duration) -> Vec<u8> {
     let body = format!(
         r#"{{"stream":true,"messages":[],"pad":"{}"}}"#,
         "x".repeat(PADDING)
@@ -224,7 +232,7 @@
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nX-Trace-Id: {id}\r\nX-Qos: hint\r\nX-Expires-In-Ms: {}\r\n\
          X-Props: prompt_len=12,max_out=10\r\nContent-Length: {}\r\n\r\n{body}",
-        patience.as_millis(),
+        request_timeout.as_millis(),
         body.len()
     );
     head.into_bytes()
--- a/tests/common/persistent.rs
+++ b/tests/common/persistent.rs
@@ -1,5 +1,5 @@
-//! Clients that go on sending on their connection until it is over, and what became of each of
-//! their requests.
+//! Clients that send requests on their connection until it is closed, and how each of the requests
+//! ended.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -15,27 +15,30 @@
 /// How a client writes.
 #[derive(Clone, Copy, Debug)]
 pub enum Writing {
-    Whole,
-    ThreeAtOnce,
+    /// One request in one write.
+    Complete,
+    /// Three requests in one write.
+    Pipelined,
+    /// One request in four writes.
     InPieces,
 }
 
 /// A request of a client.
 pub struct Sent {
     pub id: String,
-    /// When its last byte was written; none where the connection ended before that.
-    pub whole: Option<Instant>,
+    /// When its last byte was written; none where the connection closed before that.
+    pub written_at: Option<Instant>,
     pub answer_began: bool,
     pub answered: bool,
 }
 
-/// A client's connection, and what it came to.
+/// A client's connection, and the requests sent on it.
 pub struct Connection {
     writing: Writing,
     stream: TcpStream,
     buffer: Buffer,
     pub requests: Vec<Sent>,
-    /// The router ended it over bytes that it had not read.
+    /// The router closed it without having read all bytes.
     pub reset: bool,
 }
 
@@ -51,11 +54,11 @@
         }
     }
 
-    /// Writes the next requests; what can't be written is no request.
+    /// Writes the next requests; one that can't be written completely was not sent.
     async fn write(&mut self, deadline: Duration) {
         let (count, pieces) = match self.writing {
-            Writing::Whole => (1, 1),
-            Writing::ThreeAtOnce => (3, 1),
+            Writing::Complete => (1, 1),
+            Writing::Pipelined => (3, 1),
             Writing::InPieces => (1, 4),
         };
         let ids: Vec<String> = (0..count).map(|_| fresh_id()).collect();
@@ -68,11 +71,11 @@
             }
             written = written && self.stream.write_all(piece).await.is_ok();
         }
-        let whole = written.then(Instant::now);
+        let written_at = written.then(Instant::now);
         self.reset |= !written;
         let sent = |id| Sent {
             id,
-            whole,
+            written_at,
             answer_began: false,
             answered: false,
         };
@@ -81,22 +84,22 @@
 
     /// Reads the answer to the first request without one.
     async fn read(&mut self) -> Result<(), HttpError> {
-        let Some(open) = self.requests.iter_mut().find(|sent| !sent.answered) else {
+        let Some(request) = self.requests.iter_mut().find(|sent| !sent.answered) else {
             return Ok(());
         };
         let head = read_response_head(&mut self.buffer, &mut self.stream).await?;
-        open.answer_began = true;
+        request.answer_began = true;
         let mut body = Body::new(head.framing(true)?);
         while body
             .next(&mut self.buffer, &mut self.stream)
             .await?
             .is_some()
         {}
-        open.answered = true;
+        request.answered = true;
         Ok(())
     }
 
-    /// Sends and reads, also behind an answer that tells of a close, until the connection is over
+    /// Sends and reads, also behind an answer that announces a close, until the connection is closed
     /// and the program killed.
     pub async fn run(
         mut self,
@@ -120,28 +123,28 @@
         self
     }
 
-    /// What of its requests was lost, given which of them reached a model server. Where its answer
-    /// has begun, a request that was whole `in_time` is the platform's own loss.
+    /// The requests that were lost, given which of them reached a model server. A request that was
+    /// written before `in_time` and whose answer has begun is not counted: the platform loses it.
     pub fn lost(&self, term: Instant, in_time: Instant, ran: impl Fn(&str) -> bool) -> Vec<String> {
         let lost = |sent: &&Sent| {
-            let outlasts = sent.answer_began && sent.whole.is_some_and(|at| at < in_time);
-            let unread = sent.whole.is_none() || self.reset;
+            let outlasts = sent.answer_began && sent.written_at.is_some_and(|at| at < in_time);
+            let unread = sent.written_at.is_none() || self.reset;
             !sent.answered && !outlasts && (ran(&sent.id) || !unread)
         };
-        let tell = |sent: &Sent| {
+        let describe = |sent: &Sent| {
             let Sent {
                 id,
-                whole,
+                written_at,
                 answer_began,
                 ..
             } = sent;
-            let whole = whole.map(|at| at.saturating_duration_since(term));
+            let written = written_at.map(|at| at.saturating_duration_since(term));
             format!(
-                "{:?} {id}, whole after {whole:?}, ran {}, began {answer_began}",
+                "{:?} {id}, written after {written:?}, ran {}, began {answer_began}",
                 self.writing,
                 ran(id)
             )
         };
-        self.requests.iter().filter(lost).map(tell).collect()
+        self.requests.iter().filter(lost).map(describe).collect()
     }
 }
--- a/tests/common/platform.rs
+++ b/tests/common/platform.rs
@@ -1,4 +1,4 @@
-//! Lists and configurations as the platform writes them.
+//! Endpoint lists and configurations as the platform writes them.
 #![allow(dead_code)]
 
 use std::path::Path;
@@ -6,6 +6,7 @@
 use serde_json::{Value, json};
 use stilespan::config::Config;
 
+/// An endpoint list of hosts, each given by its name, address and phase.
 pub fn list(revision: u64, complete: bool, hosts: &[(&str, &str, &str)]) -> Value {
     let host = |(id, address, phase): &(&str, &str, &str)| {
         json!({"id": id, "host_port": address, "locality": "cleveland", "flavor": "fast-card", "cell": 0,
@@ -14,19 +15,19 @@
     json!({"revision": revision, "complete": complete, "members": hosts.iter().map(host).collect::<Vec<_>>()})
 }
 
-/// A configuration, read.
+/// A parsed configuration with these known hosts.
 pub fn config(hosts: &[(&str, &str, &str)], discovery: Option<&str>) -> Config {
     Config::parse(Path::new("test"), &config_text(hosts, discovery)).unwrap()
 }
 
 /// A configuration as the platform writes it.
 pub fn config_text(hosts: &[(&str, &str, &str)], discovery: Option<&str>) -> String {
-    let class = |name: &str, aim: f64, deadline: f64, worth: f64| {
-        json!({"name": name, "objective": aim, "deadline": deadline, "effect": "read_like", "streaming": true,
-            "credit": worth, "late-worth": 0.0})
+    let class = |name: &str, objective: f64, deadline: f64, weight: f64| {
+        json!({"name": name, "objective": objective, "deadline": deadline, "effect": "read_like", "streaming": true,
+            "credit": weight, "late-worth": 0.0})
     };
-    let ask = if discovery.is_some() { "ask" } else { "push" };
-    let settings = json!({"n-instances": 1, "period": 0.002, "discovery": ask, "localities": ["cleveland", "toledo"],
+    let discovery_mode = if discovery.is_some() { "ask" } else { "push" };
+    let settings = json!({"n-instances": 1, "period": 0.002, "discovery": discovery_mode, "localities": ["cleveland", "toledo"],
         "classes": [class("hint", 0.4, 1.5, 3.0), class("batch-mark", 3.0, 15.0, 1.0)],
         "specifics": {"aim-us-per-1000-prompt-tokens": [60000.0, 30000.0], "token-aim": [0.06, 0.05], "resume": true},
         "guarantees": {"drain-grace": 0.5, "fall": 1.5, "fall-multiple": 4.0, "must-ask-in": 0.4,
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -33,14 +33,15 @@
     }
 }
 
+/// The built program without the environment's settings.
 pub fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_stilespan"));
     command.env_remove("GW_CONFIG").env_remove("RUST_LOG");
     command
 }
 
-/// Starts the program on a file and waits until it serves; gives its address and the rest of its
-/// log.
+/// Starts the program with a configuration file and waits until it serves; its address and the rest
+/// of its log.
 pub async fn serve(file: &Scratch) -> (Running, String, BufReader<std::process::ChildStderr>) {
     let mut child = program()
         .args(["serve", "--config"])
@@ -66,6 +67,7 @@
     (child, address, log)
 }
 
+/// Sends a signal, named without `SIG`.
 pub fn signal(name: &str, child: &Running) {
     let kill = format!("kill -{name} {}", child.0.id());
     assert!(
--- a/tests/lasting_failures.rs
+++ b/tests/lasting_failures.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use common::injected::{Ends, InjectedRouter, RequestEnd};
+use common::injected::{InjectedRouter, RequestEnd, RequestEnds};
 use lab::injection::{Call, Fault, Rule, errno};
 use tokio::time::{Instant, sleep};
 
@@ -61,8 +61,8 @@
 async fn fail_for_span(
     router: &InjectedRouter,
     call: Call,
-    requests: impl Future<Output = Ends>,
-) -> Ends {
+    requests: impl Future<Output = RequestEnds>,
+) -> RequestEnds {
     let process = router.process.id();
     let idle = core_share(process, IDLE).await;
     let log_before = router.process.log().len();
@@ -102,7 +102,7 @@
     };
     let ends = fail_for_span(&router, Call::Accept4, requests).await;
     assert_eq!(
-        (ends.count(&RequestEnd::Whole), ends.rejected()),
+        (ends.count(&RequestEnd::Complete), ends.rejected()),
         (CLIENTS, CLIENTS),
         "{ends:?}"
     );
@@ -126,7 +126,7 @@
     assert_eq!(ends.rejected(), CLIENTS, "{ends:?}");
     let after = router.live_requests(CLIENTS, 1, LONG_PATIENCE).await;
     assert_eq!(
-        after.count(&RequestEnd::Whole),
+        after.count(&RequestEnd::Complete),
         CLIENTS,
         "{after:?}\n{}",
         router.process.log()
--- a/tests/shutdown_deadline.rs
+++ b/tests/shutdown_deadline.rs
@@ -137,7 +137,7 @@
     );
     let (mut child, address, _log) = serve(&file).await;
     let mut clients = JoinSet::new();
-    for writing in [Writing::Whole, Writing::ThreeAtOnce, Writing::InPieces] {
+    for writing in [Writing::Complete, Writing::Pipelined, Writing::InPieces] {
         for offset in (0..1500).step_by(STEP_MS).map(Duration::from_millis) {
             let connection = Connection::open(&address, writing).await;
             let (mut ending, killed) = (ending.clone(), killed.clone());
--- a/tests/syscall_faults.rs
+++ b/tests/syscall_faults.rs
@@ -102,7 +102,7 @@
     println!("{ends:?}, injected {counts:?}");
     assert_injected(&rules, &counts);
     assert_eq!(
-        ends.count(&RequestEnd::Whole),
+        ends.count(&RequestEnd::Complete),
         REQUESTS,
         "{ends:?}, injected {counts:?}\n{}",
         router.process.log()
@@ -147,7 +147,7 @@
         ends = requests => ends,
     };
     for ends in ends {
-        let whole = ends.count(&RequestEnd::Whole);
+        let whole = ends.count(&RequestEnd::Complete);
         assert_eq!(
             whole,
             STEPPED_CLIENTS * STEPPED_EACH,
