--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to model servers that are used again, and what an earlier answer may leave on them.
+//! Connections to model servers that are reused, and what an earlier answer may leave on them.
 
 mod common;
 
@@ -8,15 +8,15 @@
 use rstest::rstest;
 use tokio::time::{sleep, timeout};
 
-/// A server writes a second answer some milliseconds after the first, as the connection's next
-/// request is on its way: it is nobody's answer.
+/// A server writes a second answer some milliseconds after the first, while the connection's next
+/// request is on its way: it is relayed to no client.
 #[rstest]
 #[case::at_once(0)]
 #[case::a_little_later(4)]
 #[case::some_milliseconds_later(20)]
 #[tokio::test]
-async fn a_late_second_answer_is_not_the_next_ones(#[case] later_ms: u64) {
-    let doubled = move |text: &str| {
+async fn late_second_answer_is_discarded(#[case] later_ms: u64) {
+    let two_answers = move |text: &str| {
         [
             answer(text),
             vec![Step::Sleep(later_ms)],
@@ -26,7 +26,7 @@
     };
     let server = peer(move |n, _, _| {
         if n % 2 == 0 {
-            doubled(&format!("answer {n}"))
+            two_answers(&format!("answer {n}"))
         } else {
             answer("again")
         }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -48,16 +48,16 @@
 }
 
 #[test]
-fn every_file_of_the_module_is_named_in_the_deploy_file() {
+fn deploy_file_names_every_policy_file() {
     let mut named: Vec<String> = policy().into_iter().map(|(path, _)| path).collect();
-    let (mut there, _) = policy_folder();
+    let (mut existing, _) = policy_folder();
     named.sort();
-    there.sort();
-    assert_eq!(named, there);
+    existing.sort();
+    assert_eq!(named, existing);
 }
 
 #[test]
-fn no_file_of_the_module_exceeds_250_lines() {
+fn policy_files_stay_within_250_lines() {
     let (sources, tests) = policy_folder();
     assert!(sources.len() > 1 && !tests.is_empty(), "{sources:?}");
     for path in sources.into_iter().chain(tests) {
@@ -86,19 +86,19 @@
 /// Guards against a block that the doc test would take for Rust: one without a language, or made by
 /// indenting.
 #[test]
-fn every_block_of_the_readme_names_its_language() {
-    let mut open = false;
+fn readme_blocks_name_their_language() {
+    let mut in_block = false;
     for (n, line) in read("README.md").lines().enumerate() {
         if let Some(language) = line.strip_prefix("```") {
             assert!(
-                open || !language.is_empty(),
+                in_block || !language.is_empty(),
                 "README.md:{} names no language",
                 n + 1
             );
-            open = !open;
+            in_block = !in_block;
         }
         assert!(
-            open || !line.starts_with("    "),
+            in_block || !line.starts_with("    "),
             "README.md:{} is an indented block",
             n + 1
         );
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -1,4 +1,4 @@
-//! Lists over loopback sockets: when one is in force, and what keeps it so.
+//! Endpoint lists over loopback sockets: when one is in force, and how it is kept up to date.
 
 mod common;
 
@@ -11,11 +11,11 @@
 use tokio::time::Instant;
 
 #[tokio::test]
-async fn a_router_is_ready_once_it_has_a_list_and_until_its_end() {
+async fn readiness_lasts_from_list_to_shutdown() {
     let health = b"GET /_health HTTP/1.1\r\n\r\n";
-    let mut bare = config(&[], None);
-    bare.known_endpoints = None;
-    let router = route(bare).await;
+    let mut without_list = config(&[], None);
+    without_list.known_endpoints = None;
+    let router = route(without_list).await;
     assert_eq!(
         Client::new(&router.platform)
             .await
@@ -47,14 +47,14 @@
     );
 }
 
-/// The watch goes on after a failed call and a drain reaches the module: where it asks, because the
-/// module asks again; where discovery pushes, nobody orders a watch and the agent beside the router
-/// is watched all the same.
+/// The watch continues after a failed call and a drain reaches the decision module: where the module
+/// polls, because it polls again; where discovery pushes, the module orders no watch and the agent
+/// beside the router is watched all the same.
 #[rstest]
-#[case::asked(true)]
+#[case::polled(true)]
 #[case::pushed(false)]
 #[tokio::test]
-async fn the_watch_goes_on_and_a_drained_server_gets_nothing_new(#[case] asked: bool) {
+async fn watch_survives_failures_and_drains_servers(#[case] polled: bool) {
     let (a, b) = (
         peer(|_, _, _| answer("a")).await,
         peer(|_, _, _| answer("b")).await,
@@ -82,7 +82,7 @@
         ("s-b", b.address.as_str(), "SERVING"),
     ];
     let mut config = config(&hosts, Some(&discovery.address));
-    config.settings.ask = asked;
+    config.settings.ask = polled;
     let router = route(config).await;
     until("the watch goes on after a failure", || {
         discovery.requests() > 4
@@ -114,16 +114,14 @@
     assert_eq!(a.requests(), 0);
 }
 
-/// An answer of discovery that never arrives: what it missed counts as told 6 s after the silence
-/// began, and one router of hundreds asks again ahead of that, however long the module spreads
-/// calls after failures.
+/// A call to discovery that is never answered: 6 s after it went silent the platform assumes that
+/// the router knows the missed changes, and one router of hundreds calls again before that, however
+/// far the decision module spreads calls after failures.
 #[rstest]
 #[case::alone(1)]
 #[case::of_hundreds(300)]
 #[tokio::test]
-async fn a_watch_that_falls_silent_is_begun_anew_before_its_news_count_as_told(
-    #[case] routers: u32,
-) {
+async fn silent_watch_is_reopened_in_time(#[case] routers: u32) {
     let discovery = peer(|_, _, _| vec![Step::Hang]).await;
     let text = config_text(
         &[("s-a", "127.0.0.1:1", "SERVING")],
@@ -142,17 +140,17 @@
     );
 }
 
-/// A list may come indented, in whole or in part.
+/// Endpoint lists may be indented, complete and partial ones.
 #[tokio::test]
-async fn an_indented_list_counts_as_any() {
+async fn indented_list_is_accepted() {
     let server = peer(|_, _, _| answer("a")).await;
-    let told =
+    let drained =
         serde_json::to_string_pretty(&list(2, false, &[("s-a", &server.address, "DRAINING")]))
             .unwrap();
     let discovery = peer(move |n, _, _| match n {
         0 => vec![Step::Write(format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{told}",
-            told.len()
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{drained}",
+            drained.len()
         ))],
         _ => vec![Step::Hang],
     })
@@ -171,9 +169,9 @@
 /// second time. A stall of 0.3 s over the first list is the likely cause; it was not traced.
 const LONG_LIST: usize = if cfg!(debug_assertions) { 800 } else { 3_200 };
 
-/// A long list, indented: it is had once, and from then on a change costs its own bytes.
+/// A long list, indented: it is fetched once, and from then on only changes are fetched.
 #[tokio::test]
-async fn a_list_of_thousands_is_had_once_and_then_its_changes() {
+async fn long_list_is_fetched_once() {
     let names: Vec<_> = (0..LONG_LIST)
         .map(|n| (format!("s-{n:08x}"), format!("127.0.0.1:{}", 1 + n)))
         .collect();
@@ -181,9 +179,13 @@
         .iter()
         .map(|(name, at)| (name.as_str(), at.as_str(), "DRAINING"))
         .collect();
-    let whole = serde_json::to_string_pretty(&list(2, true, &hosts)).unwrap();
-    // the page allows 500 KB for each thousand
-    assert!(whole.len() < 500 * hosts.len(), "{} bytes", whole.len());
+    let complete = serde_json::to_string_pretty(&list(2, true, &hosts)).unwrap();
+    // the platform allows 500 KB for each thousand
+    assert!(
+        complete.len() < 500 * hosts.len(),
+        "{} bytes",
+        complete.len()
+    );
     let discovery = peer(move |n, _, _| {
         let change = || {
             list(
@@ -193,7 +195,7 @@
             )
             .to_string()
         };
-        let text = if n == 0 { whole.clone() } else { change() };
+        let text = if n == 0 { complete.clone() } else { change() };
         let write = Step::Write(format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
             text.len()
@@ -206,7 +208,7 @@
     })
     .await;
     let _router = route(config(&[], Some(&discovery.address))).await;
-    until("the changes were told", || discovery.requests() == 21).await;
+    until("the changes were fetched", || discovery.requests() == 21).await;
     let targets: Vec<_> = discovery
         .seen
         .lock()
--- a/tests/production_terms.rs
+++ b/tests/production_terms.rs
@@ -1,6 +1,6 @@
-//! Troubles of production that the bench plays seldom: requests with hardly any time left, clients
-//! that stop within a later request, servers that hang through a whole shutdown, configurations in
-//! quick succession.
+//! Faults of production that the bench seldom has: requests with hardly any time left, clients that
+//! stop within a later request, servers that hang through a complete shutdown, rapid reloads of the
+//! configuration.
 
 mod common;
 
@@ -13,11 +13,11 @@
 use rstest::rstest;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A final answer may come so long after its client's time.
-const LATE: Duration = Duration::from_millis(500);
-/// A client that stops within a request is owed an answer or a close within this.
-const BAD_CLIENT: Duration = Duration::from_secs(3);
-/// What may pass between a router's act and the client's sight of it, on a busy machine.
+/// A final answer may arrive so long after its client's deadline.
+const ANSWER_TOLERANCE: Duration = Duration::from_millis(500);
+/// A client that stops within a request gets an answer or a close within this.
+const INCOMPLETE_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time until a client observes what the router did, on a busy machine.
 const SLACK: Duration = Duration::from_millis(400);
 
 /// A client stops in the middle of its second request and stays: it gets its error, and the close.
@@ -30,7 +30,7 @@
     "POST /v1/chat/completions HTTP/1.1\r\nX-Trace-Id: 7\r\nX-Qos: hint\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{"
 )]
 #[tokio::test]
-async fn a_client_that_stops_within_its_second_request_is_closed_in_time(#[case] part: &str) {
+async fn incomplete_second_request_is_closed(#[case] part: &str) {
     let server = peer(|_, _, _| answer("x")).await;
     let router = route(config(&[("s-a", &server.address, "SERVING")], None)).await;
     let mut client = Client::new(&router.platform).await;
@@ -47,7 +47,7 @@
     );
     assert!(client.answer().await.is_none());
     assert!(
-        start.elapsed() < BAD_CLIENT + SLACK,
+        start.elapsed() < INCOMPLETE_REQUEST_TIMEOUT + SLACK,
         "{:?}",
         start.elapsed()
     );
@@ -57,7 +57,7 @@
 /// A server drops requests with very little time left and says nothing: each has its one answer in
 /// time, no attempt is given more time than its client has, and the server is used again.
 #[tokio::test]
-async fn requests_with_very_little_time_are_answered_and_cost_nobody_else() {
+async fn short_deadlines_affect_nobody_else() {
     let server = peer(|_, head, _| {
         let left: u64 = head.get("x-expires-in-ms").unwrap().parse().unwrap();
         if left < 100 {
@@ -74,19 +74,23 @@
         let got = ask(&router.platform, "hint", left).await;
         assert!(got.whole && matches!(got.head.status, 502 | 503), "{got:?}");
         assert!(
-            start.elapsed() < Duration::from_millis(left) + LATE,
+            start.elapsed() < Duration::from_millis(left) + ANSWER_TOLERANCE,
             "{left} ms: {:?}",
             start.elapsed()
         );
         let seen = server.seen.lock().unwrap();
-        let told = |seen: &Seen| {
+        let forwarded_ms = |seen: &Seen| {
             seen.0
                 .get("x-expires-in-ms")
                 .unwrap()
                 .parse::<u64>()
                 .unwrap()
         };
-        assert!(seen[before..].iter().all(|seen| told(seen) <= left.max(1)));
+        assert!(
+            seen[before..]
+                .iter()
+                .all(|seen| forwarded_ms(seen) <= left.max(1))
+        );
     }
     let start = Instant::now();
     while ask(&router.platform, "batch-mark", 5000).await.head.status != 200 {
@@ -97,10 +101,10 @@
     }
 }
 
-/// All servers hang from before the signal to the end: every request that was taken, before and
-/// after it, has an answer by its time, and the program ends with the last of them.
+/// All servers hang from before the signal to the end: every request that was accepted, before and
+/// after it, is answered by its deadline, and the program ends with the last of them.
 #[tokio::test]
-async fn servers_that_hang_through_a_shutdown_leave_no_request_unanswered() {
+async fn shutdown_answers_despite_hanging_servers() {
     let (a, b) = (
         peer(|_, _, _| vec![Step::Hang]).await,
         peer(|_, _, _| vec![Step::Hang]).await,
@@ -113,20 +117,24 @@
         None,
     ))
     .await;
-    let one = |address: String, class: &'static str, left: u64| async move {
+    let send_one = |address: String, class: &'static str, left: u64| async move {
         let start = Instant::now();
         let got = ask(&address, class, left).await;
         assert!(got.whole && matches!(got.head.status, 502 | 503), "{got:?}");
         assert!(
-            start.elapsed() < Duration::from_millis(left) + LATE,
+            start.elapsed() < Duration::from_millis(left) + ANSWER_TOLERANCE,
             "{:?}",
             start.elapsed()
         );
     };
-    let mut asked = tokio::task::JoinSet::new();
+    let mut sent = tokio::task::JoinSet::new();
     for n in 0..12 {
         let class = ["hint", "batch-mark"][n % 2];
-        asked.spawn(one(router.platform.clone(), class, 1000 + 100 * n as u64));
+        sent.spawn(send_one(
+            router.platform.clone(),
+            class,
+            1000 + 100 * n as u64,
+        ));
     }
     until("some are at the servers", || {
         a.requests() + b.requests() > 1
@@ -134,20 +142,20 @@
     .await;
     router.end.send(true).unwrap();
     for n in 0..6 {
-        asked.spawn(one(router.platform.clone(), "hint", 300 + 100 * n));
+        sent.spawn(send_one(router.platform.clone(), "hint", 300 + 100 * n));
         sleep(Duration::from_millis(30)).await;
     }
-    asked.join_all().await;
+    sent.join_all().await;
     timeout(Duration::from_secs(5), router.done)
         .await
         .expect("ends")
         .unwrap();
 }
 
-/// Twenty configurations in quick succession, of which every second names another discovery: the
-/// last one is in force, with one watch alone, and what is in flight goes on.
+/// Twenty configurations in rapid succession, of which every second names another discovery: the
+/// last one is in force, with a single watch, and requests in flight go on.
 #[tokio::test]
-async fn of_configurations_in_quick_succession_the_last_is_in_force() {
+async fn last_of_rapid_reloads_wins() {
     let slow = [vec![Step::Gate, Step::Release], answer("a")].concat();
     let (a, b) = (
         peer(move |_, _, _| slow.clone()).await,
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as it is started: what it says of bad files, and its planned end.
+//! The program as it is started: messages about invalid files, signals, and its graceful shutdown.
 
 mod common;
 
@@ -11,17 +11,17 @@
 use common::process::*;
 use rstest::rstest;
 
-fn told(output: &Output) -> String {
+fn error_output(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[rstest]
 #[case::not_json("json", "{", "line 1")]
 #[case::no_classes("classes", r#"{"name": "n0", "listen": "127.0.0.1:0"}"#, "settings")]
-fn a_bad_configuration_is_a_plain_message(
+fn invalid_configuration_is_reported(
     #[case] name: &str,
     #[case] text: &str,
-    #[case] says: &str,
+    #[case] expected: &str,
 ) {
     let file = Scratch::new(name, text);
     for command in ["serve", "check"] {
@@ -30,26 +30,28 @@
             .arg(&file.0)
             .output()
             .unwrap();
-        let told = told(&output);
-        assert_eq!(output.status.code(), Some(1), "{told}");
+        let message = error_output(&output);
+        assert_eq!(output.status.code(), Some(1), "{message}");
         assert!(
-            told.starts_with("stilespan: ") && told.contains(says) && !told.contains("panicked"),
-            "{told}"
+            message.starts_with("stilespan: ")
+                && message.contains(expected)
+                && !message.contains("panicked"),
+            "{message}"
         );
     }
 }
 
 #[test]
-fn a_configuration_that_is_not_there_is_a_plain_message() {
+fn missing_configuration_is_reported() {
     let output = program()
         .args(["serve", "--config", "/nowhere/at.json"])
         .output()
         .unwrap();
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        told(&output).contains("/nowhere/at.json"),
+        error_output(&output).contains("/nowhere/at.json"),
         "{}",
-        told(&output)
+        error_output(&output)
     );
 }
 
@@ -69,9 +71,9 @@
 }
 
 #[test]
-fn check_tells_where_operators_call() {
+fn check_prints_operators_address() {
     let file = Scratch::new("admin", &config_text(&[], None));
-    for (given, says) in [
+    for (given, expected) in [
         (None, "127.0.0.1:0"),
         (Some("127.0.0.1:9090"), "127.0.0.1:9090"),
     ] {
@@ -82,16 +84,16 @@
             .env_remove("GW_ADMIN");
         command.envs(given.map(|at| ("GW_ADMIN", at)));
         let output = command.output().unwrap();
-        let told = String::from_utf8_lossy(&output.stdout).into_owned();
+        let message = String::from_utf8_lossy(&output.stdout).into_owned();
         assert!(
-            told.contains(&format!("operators' address: {says}\n")),
-            "{told}"
+            message.contains(&format!("operators' address: {expected}\n")),
+            "{message}"
         );
     }
 }
 
 #[tokio::test]
-async fn sigterm_answers_what_was_taken_and_ends_with_0() {
+async fn sigterm_answers_accepted_requests() {
     let slow = [vec![Step::Sleep(150)], answer("x")].concat();
     let server = peer(move |_, _, _| slow.clone()).await;
     let file = Scratch::new(
@@ -108,10 +110,10 @@
     assert_eq!(status, Some(0), "{rest}");
 }
 
-/// The signal to end a second time, SIGHUP beside it, and the signal to a process that is not
-/// ready: each ends as one does.
+/// SIGTERM between two SIGHUPs, and SIGTERM to a process that is not ready: each ends as a single
+/// SIGTERM does.
 #[tokio::test]
-async fn sigterm_twice_beside_sighup_and_before_it_is_ready_ends_with_0() {
+async fn repeated_signals_end_with_0() {
     let slow = [vec![Step::Sleep(300)], answer("x")].concat();
     let server = peer(move |_, _, _| slow.clone()).await;
     let discovery = peer(|_, _, _| vec![Step::Hang]).await;
@@ -128,7 +130,7 @@
     assert!(busy.answer().await.unwrap().whole);
     let (status, rest) = ended.await.unwrap();
     assert_eq!(status, Some(0), "{rest}");
-    // no list and no discovery: it can't become ready
+    // without an endpoint list and without discovery it can't become ready
     let mut bare: serde_json::Value =
         serde_json::from_str(&config_text(&[], Some("127.0.0.1:1"))).unwrap();
     bare.as_object_mut().unwrap().remove("known");
@@ -138,10 +140,11 @@
     assert_eq!(status, Some(0), "{rest}");
 }
 
-/// SIGHUP under load: a bad file changes nothing, a good one moves the watch to the new address,
-/// for the whole list, though a call is under way at the old one. What is in flight goes on.
+/// SIGHUP under load: an invalid file changes nothing, a valid one moves the watch to the new address
+/// and fetches the complete list, though a call is in flight at the old one. Requests in flight go
+/// on.
 #[tokio::test]
-async fn sighup_moves_the_watch_and_a_bad_file_changes_nothing() {
+async fn sighup_applies_only_valid_configuration() {
     let slow = [vec![Step::Gate, Step::Release], answer("a")].concat();
     let (a, b) = (
         peer(move |_, _, _| slow.clone()).await,
@@ -176,7 +179,7 @@
     fs::write(&file.0, config_text(&hosts, Some(&new.address))).unwrap();
     signal("HUP", &child);
     until("the new watch", || new.requests() == 2).await;
-    until("the old watch is given up", || {
+    until("the old watch is cancelled", || {
         old.dropped.load(Ordering::SeqCst) == 1
     })
     .await;
