--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -202,15 +202,7 @@
         last.is_reset().await,
         "what came behind the last request was read"
     );
-    assert_eq!(
-        Client::new(&router.platform)
-            .await
-            .call(&behind)
-            .await
-            .head
-            .status,
-        200
-    );
+    assert_eq!(call_once(&router.platform, &behind).await.head.status, 200);
     bystander.served().await;
 }
 
@@ -236,8 +228,5 @@
         "{took:?}"
     );
     assert!(whole.answer().await.expect("an answer").whole);
-    timeout(Duration::from_secs(10), router.done)
-        .await
-        .expect("ends")
-        .unwrap();
+    router.wait_until_stopped(Duration::from_secs(10)).await;
 }
--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -13,14 +13,7 @@
 /// there is memory again.
 #[tokio::test]
 async fn disconnect_during_memory_wait_sends_nothing() {
-    let server = peer(|n, _, _| {
-        if n < 2 {
-            [vec![Step::Gate], answer("x")].concat()
-        } else {
-            answer("y")
-        }
-    })
-    .await;
+    let server = low_memory::gated_server().await;
     let router = route(low_memory::config(&server.address)).await;
     let [mut a, mut b] = low_memory::fill_memory(&router, &server).await;
     let mut leaving = Client::new(&router.platform).await;
@@ -34,9 +27,7 @@
     assert_eq!(server.requests(), 2);
     // and all of the memory is free again
     assert!(
-        Client::new(&router.platform)
-            .await
-            .call(&low_memory::large_request(250, 10_000))
+        call_once(&router.platform, &low_memory::large_request(250, 10_000))
             .await
             .whole
     );
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -117,15 +117,7 @@
         .await;
     until("the request is there", || server.requests() == 1).await;
     let twice = request_of("7f", "hint", 1000, "");
-    assert_eq!(
-        Client::new(&router.platform)
-            .await
-            .call(&twice)
-            .await
-            .head
-            .status,
-        409
-    );
+    assert_eq!(call_once(&router.platform, &twice).await.head.status, 409);
     server.gate.add_permits(1);
     assert_eq!(first.answer().await.unwrap().head.status, 200);
     assert_eq!(server.requests(), 1);
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -47,15 +47,7 @@
         Reason::Shutdown => router.end.send(true).unwrap(),
         Reason::Drain => {
             let call = b"POST /drain HTTP/1.1\r\nContent-Length: 0\r\n\r\n";
-            assert_eq!(
-                Client::new(&router.admin)
-                    .await
-                    .call(call)
-                    .await
-                    .head
-                    .status,
-                200
-            );
+            assert_eq!(call_once(&router.admin, call).await.head.status, 200);
         }
         Reason::Eviction => {
             for _ in 0..4 {
--- a/tests/common/low_memory.rs
+++ b/tests/common/low_memory.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use stilespan::config::Config;
 
-use super::peers::{Client, Peer, Router, config_text, fresh_id, until};
+use super::peers::*;
 
 /// A request with a body of about so many KiB.
 pub fn large_request(kib: usize, expires_ms: u64) -> Vec<u8> {
@@ -17,6 +17,18 @@
     head.into_bytes()
 }
 
+/// A server that holds its first two requests until the test opens the gate.
+pub async fn gated_server() -> Peer {
+    peer(|n, _, _| {
+        if n < 2 {
+            [vec![Step::Gate], answer("x")].concat()
+        } else {
+            answer("y")
+        }
+    })
+    .await
+}
+
 /// Two clients whose bodies fill the memory; returns once the server has both requests.
 pub async fn fill_memory(router: &Router, server: &Peer) -> [Client; 2] {
     let mut clients = [
--- a/tests/common/requests.rs
+++ b/tests/common/requests.rs
@@ -28,10 +28,20 @@
     head.into_bytes()
 }
 
+/// Sends one request, given by its bytes, on a connection of its own.
+pub async fn call_once(address: &str, text: &[u8]) -> Got {
+    Client::new(address).await.call(text).await
+}
+
+/// The status of `/_health`: 200 where the router takes requests.
+pub async fn health_status(address: &str) -> u16 {
+    call_once(address, b"GET /_health HTTP/1.1\r\n\r\n")
+        .await
+        .head
+        .status
+}
+
 /// Sends one request on a connection of its own.
 pub async fn ask(address: &str, class: &str, expires_ms: u64) -> Got {
-    Client::new(address)
-        .await
-        .call(&request(class, expires_ms, ""))
-        .await
+    call_once(address, &request(class, expires_ms, "")).await
 }
--- a/tests/common/responses.rs
+++ b/tests/common/responses.rs
@@ -31,6 +31,14 @@
     ))]
 }
 
+/// A successful response with this body.
+pub fn success(body: &str) -> Step {
+    Step::Write(format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    ))
+}
+
 /// A response that is no stream, with this status and more header fields.
 pub fn plain(status: &str, extra: &str) -> Vec<Step> {
     vec![Step::Write(format!(
--- a/tests/common/router.rs
+++ b/tests/common/router.rs
@@ -2,12 +2,14 @@
 #![allow(dead_code)]
 
 use std::path::Path;
+use std::time::Duration;
 
 use stilespan::batch;
 use stilespan::config::Config;
 use stilespan::router::{self, RouterOptions};
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
+use tokio::time::timeout;
 
 /// A router under test.
 pub struct Router {
@@ -23,6 +25,13 @@
     pub done: JoinHandle<()>,
 }
 
+impl Router {
+    /// Fails unless the router ends within this time.
+    pub async fn wait_until_stopped(self, limit: Duration) {
+        timeout(limit, self.done).await.expect("ends").unwrap();
+    }
+}
+
 /// Starts a router in the current runtime.
 pub async fn start(options: RouterOptions) -> Router {
     let (end, ending) = watch::channel(false);
--- a/tests/common/scripted_peer.rs
+++ b/tests/common/scripted_peer.rs
@@ -99,10 +99,17 @@
 }
 
 impl Peer {
+    /// How many requests it saw.
     pub fn requests(&self) -> usize {
         self.seen.lock().unwrap().len()
     }
 
+    /// The targets of the requests that it saw.
+    pub fn targets(&self) -> Vec<String> {
+        let seen = self.seen.lock().unwrap();
+        seen.iter().map(|(head, _)| head.target.clone()).collect()
+    }
+
     /// Executes a script; whether the connection is still open.
     async fn run(&self, steps: Vec<Step>, buffer: &mut Buffer, stream: &mut TcpStream) -> bool {
         let releases = steps.iter().any(|s| matches!(s, Step::Release));
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -32,10 +32,7 @@
         Some("close")
     );
     assert!(busy.answer().await.unwrap().whole);
-    timeout(Duration::from_secs(10), router.done)
-        .await
-        .expect("ends")
-        .unwrap();
+    router.wait_until_stopped(Duration::from_secs(10)).await;
 }
 
 /// A request that comes long after the shutdown signal could not be answered before the platform
@@ -88,10 +85,7 @@
     let got = client.answer().await.unwrap();
     assert!(got.whole && got.body.contains("late"), "{}", got.body);
     assert!(client.answer().await.is_none());
-    timeout(Duration::from_secs(10), router.done)
-        .await
-        .expect("ends")
-        .unwrap();
+    router.wait_until_stopped(Duration::from_secs(10)).await;
 }
 
 /// The same if the request arrives while the stream still runs: it isn't forwarded, for there is no
@@ -120,10 +114,7 @@
     assert!(client.answer().await.unwrap().whole);
     assert!(client.answer().await.is_none());
     assert_eq!(server.requests(), 1);
-    timeout(Duration::from_secs(10), router.done)
-        .await
-        .expect("ends")
-        .unwrap();
+    router.wait_until_stopped(Duration::from_secs(10)).await;
 }
 
 /// A client that takes its answer slowly, and has written far ahead: the connection ends behind the
@@ -194,8 +185,5 @@
     );
     assert_eq!((got.head.status, got.whole), (status, true));
     drop(client);
-    timeout(Duration::from_secs(5), router.done)
-        .await
-        .expect("ends")
-        .unwrap();
+    router.wait_until_stopped(Duration::from_secs(5)).await;
 }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -12,39 +12,14 @@
 
 #[tokio::test]
 async fn readiness_lasts_from_list_to_shutdown() {
-    let health = b"GET /_health HTTP/1.1\r\n\r\n";
     let mut without_list = config(&[], None);
     without_list.known_endpoints = None;
     let router = route(without_list).await;
-    assert_eq!(
-        Client::new(&router.platform)
-            .await
-            .call(health)
-            .await
-            .head
-            .status,
-        503
-    );
+    assert_eq!(health_status(&router.platform).await, 503);
     let router = route(config(&[], None)).await;
-    assert_eq!(
-        Client::new(&router.platform)
-            .await
-            .call(health)
-            .await
-            .head
-            .status,
-        200
-    );
+    assert_eq!(health_status(&router.platform).await, 200);
     router.end.send(true).unwrap();
-    assert_eq!(
-        Client::new(&router.platform)
-            .await
-            .call(health)
-            .await
-            .head
-            .status,
-        503
-    );
+    assert_eq!(health_status(&router.platform).await, 503);
 }
 
 /// The watch continues after a failed call and a drain reaches the decision module: where the module
@@ -66,10 +41,7 @@
         } else {
             r#"{"revision":2,"complete":false,"members":[]}"#.into()
         };
-        let write = Step::Write(format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
-            text.len()
-        ));
+        let write = success(&text);
         if n == 0 {
             plain("503 Busy", "")
         } else {
@@ -88,13 +60,7 @@
         discovery.requests() > 4
     })
     .await;
-    let targets: Vec<_> = discovery
-        .seen
-        .lock()
-        .unwrap()
-        .iter()
-        .map(|(h, _)| h.target.clone())
-        .collect();
+    let targets = discovery.targets();
     assert!(
         targets[0].starts_with("/catalog/members?after=1&wait_ms="),
         "{targets:?}"
@@ -148,10 +114,7 @@
         serde_json::to_string_pretty(&list(2, false, &[("s-a", &server.address, "DRAINING")]))
             .unwrap();
     let discovery = peer(move |n, _, _| match n {
-        0 => vec![Step::Write(format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{drained}",
-            drained.len()
-        ))],
+        0 => vec![success(&drained)],
         _ => vec![Step::Hang],
     })
     .await;
@@ -196,10 +159,7 @@
             .to_string()
         };
         let text = if n == 0 { complete.clone() } else { change() };
-        let write = Step::Write(format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
-            text.len()
-        ));
+        let write = success(&text);
         if n < 20 {
             vec![write]
         } else {
@@ -209,13 +169,7 @@
     .await;
     let _router = route(config(&[], Some(&discovery.address))).await;
     until("the changes were fetched", || discovery.requests() == 21).await;
-    let targets: Vec<_> = discovery
-        .seen
-        .lock()
-        .unwrap()
-        .iter()
-        .map(|(h, _)| h.target.clone())
-        .collect();
+    let targets = discovery.targets();
     for (n, target) in targets.iter().enumerate().skip(1) {
         assert!(
             target.contains(&format!("after={}&", n + 1)),
--- a/tests/maintenance_state.rs
+++ b/tests/maintenance_state.rs
@@ -42,7 +42,7 @@
 
 async fn disable(router: &Router, name: &str) -> Got {
     let text = format!("POST /model-servers/disable?name={name} HTTP/1.1\r\n\r\n");
-    Client::new(&router.admin).await.call(text.as_bytes()).await
+    call_once(&router.admin, text.as_bytes()).await
 }
 
 #[tokio::test]
--- a/tests/operations/admin_address.rs
+++ b/tests/operations/admin_address.rs
@@ -19,7 +19,7 @@
 #[tokio::test]
 async fn invalid_request_gets_a_4xx(#[case] text: &str, #[case] status: u16) {
     let router = route(config(&[], None)).await;
-    let got = Client::new(&router.admin).await.call(text.as_bytes()).await;
+    let got = call_once(&router.admin, text.as_bytes()).await;
     assert_eq!(got.head.status, status);
     assert_eq!(got.head.get("allow"), (status == 405).then_some("POST"));
     let mut long = Client::new(&router.admin).await;
--- a/tests/operations/drain.rs
+++ b/tests/operations/drain.rs
@@ -60,10 +60,7 @@
     // a drained router shuts down like any other
     execute(&router, "POST", "/drain").await;
     router.end.send(true).unwrap();
-    timeout(Duration::from_secs(20), router.done)
-        .await
-        .expect("ends")
-        .unwrap();
+    router.wait_until_stopped(Duration::from_secs(20)).await;
     assert!(server.dropped.load(Ordering::SeqCst) <= 1);
 }
 
--- a/tests/operations/exclusions.rs
+++ b/tests/operations/exclusions.rs
@@ -178,13 +178,7 @@
         }
     }
     assert_eq!((a.requests(), b.requests()), (0, 20));
-    let targets: Vec<_> = discovery
-        .seen
-        .lock()
-        .unwrap()
-        .iter()
-        .map(|(h, _)| h.target.clone())
-        .collect();
+    let targets = discovery.targets();
     assert_eq!(targets[2], "/catalog/members", "{targets:?}");
     assert!(
         targets[1].contains("after=5&") && targets[3].contains("after=5&"),
--- a/tests/operations/operator.rs
+++ b/tests/operations/operator.rs
@@ -52,11 +52,7 @@
 }
 
 pub async fn is_healthy(router: &Router) -> bool {
-    let got = Client::new(&router.platform)
-        .await
-        .call(b"GET /_health HTTP/1.1\r\n\r\n")
-        .await;
-    got.head.status == 200
+    health_status(&router.platform).await == 200
 }
 
 /// Discovery that answers each poll with the next list once the test opens the gate, and then no
@@ -64,13 +60,7 @@
 pub async fn lists_behind_gate(lists: [serde_json::Value; 5]) -> Peer {
     let lists = lists.map(|list| list.to_string());
     peer(move |n, _, _| match lists.get(n) {
-        Some(list) => vec![
-            Step::Gate,
-            Step::Write(format!(
-                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
-                list.len()
-            )),
-        ],
+        Some(list) => vec![Step::Gate, success(list)],
         None => vec![Step::Hang],
     })
     .await
--- a/tests/production_terms.rs
+++ b/tests/production_terms.rs
@@ -146,10 +146,7 @@
         sleep(Duration::from_millis(30)).await;
     }
     sent.join_all().await;
-    timeout(Duration::from_secs(5), router.done)
-        .await
-        .expect("ends")
-        .unwrap();
+    router.wait_until_stopped(Duration::from_secs(5)).await;
 }
 
 /// Twenty configurations in rapid succession, of which every second names another discovery: the
@@ -163,14 +160,10 @@
     );
     let other = peer(|_, _, _| vec![Step::Hang]).await;
     let known = list(1, true, &[("s-b", &b.address, "SERVING")]).to_string();
-    let text = format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{known}",
-        known.len()
-    );
     let last = peer(move |_, head, _| {
         let whole = !head.target.contains("after=");
         if whole {
-            vec![Step::Write(text.clone())]
+            vec![success(&known)]
         } else {
             vec![Step::Hang]
         }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -153,13 +153,9 @@
     let old = peer(|_, _, _| vec![Step::Hang]).await;
     // the new service counts its revisions from the start, and knows one server alone
     let known = list(1, true, &[("s-b", &b.address, "SERVING")]).to_string();
-    let text = format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{known}",
-        known.len()
-    );
     let new = peer(move |n, _, _| {
         if n == 0 {
-            vec![Step::Write(text.clone())]
+            vec![success(&known)]
         } else {
             vec![Step::Hang]
         }
@@ -183,13 +179,7 @@
         old.dropped.load(Ordering::SeqCst) == 1
     })
     .await;
-    let targets: Vec<_> = new
-        .seen
-        .lock()
-        .unwrap()
-        .iter()
-        .map(|(h, _)| h.target.clone())
-        .collect();
+    let targets = new.targets();
     assert_eq!(targets[0], "/catalog/members");
     assert!(
         targets[1].starts_with("/catalog/members?after=1&wait_ms="),
--- a/tests/request_deadlines.rs
+++ b/tests/request_deadlines.rs
@@ -45,14 +45,7 @@
 /// The wait for memory comes off the time that is forwarded to the model server.
 #[tokio::test]
 async fn memory_wait_counts_toward_deadline() {
-    let server = peer(|n, _, _| {
-        if n < 2 {
-            [vec![Step::Gate], answer("x")].concat()
-        } else {
-            answer("y")
-        }
-    })
-    .await;
+    let server = low_memory::gated_server().await;
     let router = route(low_memory::config(&server.address)).await;
     let _in_flight = low_memory::fill_memory(&router, &server).await;
     let mut client = Client::new(&router.platform).await;
--- a/tests/request_ids.rs
+++ b/tests/request_ids.rs
@@ -18,15 +18,7 @@
     half.send(&whole[..whole.len() - 20]).await;
     sleep(Duration::from_millis(50)).await;
     drop(half);
-    assert_eq!(
-        Client::new(&router.platform)
-            .await
-            .call(&whole)
-            .await
-            .head
-            .status,
-        200
-    );
+    assert_eq!(call_once(&router.platform, &whole).await.head.status, 200);
 }
 
 /// A request that was rejected without having been sent anywhere may come again under its id; one
@@ -37,33 +29,9 @@
     let router = route(config(&[("s-a", &server.address, "DRAINING")], None)).await;
     let whole = request_of("0123456789abcdef", "hint", 300, "");
     for _ in 0..2 {
-        assert_eq!(
-            Client::new(&router.platform)
-                .await
-                .call(&whole)
-                .await
-                .head
-                .status,
-            503
-        );
+        assert_eq!(call_once(&router.platform, &whole).await.head.status, 503);
     }
     let router = route(config(&[("s-a", &server.address, "SERVING")], None)).await;
-    assert_eq!(
-        Client::new(&router.platform)
-            .await
-            .call(&whole)
-            .await
-            .head
-            .status,
-        200
-    );
-    assert_eq!(
-        Client::new(&router.platform)
-            .await
-            .call(&whole)
-            .await
-            .head
-            .status,
-        409
-    );
+    assert_eq!(call_once(&router.platform, &whole).await.head.status, 200);
+    assert_eq!(call_once(&router.platform, &whole).await.head.status, 409);
 }
--- a/tests/upgrade/processes.rs
+++ b/tests/upgrade/processes.rs
@@ -98,11 +98,7 @@
 
     /// Whether the router tells its clients that it is healthy.
     pub async fn is_healthy(&self) -> bool {
-        let got = Client::new(&self.clients_address())
-            .await
-            .call(b"GET /_health HTTP/1.1\r\n\r\n")
-            .await;
-        got.head.status == 200
+        health_status(&self.clients_address()).await == 200
     }
 }
 
@@ -128,12 +124,7 @@
     /// Calls the operators' address; the status of the answer.
     pub async fn admin_call(&self, method: &str, target: &str) -> u16 {
         let text = format!("{method} {target} HTTP/1.1\r\n\r\n");
-        Client::new(&self.admin)
-            .await
-            .call(text.as_bytes())
-            .await
-            .head
-            .status
+        call_once(&self.admin, text.as_bytes()).await.head.status
     }
 
     pub async fn wait_until_ready(&self) {
--- a/tests/upgrade/takeover.rs
+++ b/tests/upgrade/takeover.rs
@@ -52,13 +52,9 @@
         ("s-b", b.address.as_str(), "SERVING"),
     ];
     let endpoints = list(5, true, &hosts).to_string();
-    let text = format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{endpoints}",
-        endpoints.len()
-    );
     let discovery = peer(move |n, _, _| {
         if n == 0 {
-            vec![Step::Write(text.clone())]
+            vec![success(&endpoints)]
         } else {
             vec![Step::Hang]
         }
