--- a/tests/mechanism.rs
+++ b/tests/balancer/main.rs
@@ -1,6 +1,7 @@
 //! The parts of the mechanism, against figures worked by hand, and the rules for each kind of
 //! effect.
 
+#[path = "../common/mod.rs"]
 mod common;
 
 use common::*;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,13 +12,13 @@
 pub mod persistent;
 pub mod platform;
 pub mod process;
+pub mod random_events;
 pub mod requests;
 pub mod responses;
 pub mod router;
 pub mod scripted;
 pub mod scripted_peer;
 pub mod wait;
-pub mod world;
 
 use stilespan::Balancer;
 use stilespan::interface::*;
--- a/tests/crossings.rs
+++ b/tests/core_races/main.rs
@@ -2,6 +2,7 @@
 //! byte, and the test decides what comes first. Each row of `docs/design/crossings.md` that needs
 //! no socket has its test here.
 
+#[path = "../common/mod.rs"]
 mod common;
 
 use std::time::Instant;
--- a/tests/random.rs
+++ b/tests/random_events.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::world::*;
+use common::random_events::*;
 use common::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
