--- a/tests/lasting_failures.rs
+++ b/tests/lasting_failures.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for seconds: no busy loop, hardly any log, and a clear end for every
+//! System calls that fail for seconds: no busy loop, hardly any log, and a final answer to every
 //! request.
 
 mod common;
@@ -11,20 +11,20 @@
 use tokio::time::{Instant, sleep};
 
 /// The calls fail for so long.
-const SPAN: Duration = Duration::from_secs(3);
-/// The process's idle use is measured for so long.
-const IDLE: Duration = Duration::from_millis(1_500);
+const FAILURE_SPAN: Duration = Duration::from_secs(3);
+/// The processor use of the idle process is measured for so long.
+const IDLE_SPAN: Duration = Duration::from_millis(1_500);
 /// A hundredth of a second, in which `/proc` counts the time of a process.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// What a lasting failure may cost, of one core.
-const CORE_SHARE: f64 = 0.02;
+/// Processor time that a lasting failure may cost, as a part of one core.
+const MAX_CORE_USE: f64 = 0.02;
 /// Log lines of a kind within the span: one a second, and the one at its beginning.
-const LOG_LINES: usize = 4;
+const MAX_LOG_LINES: usize = 4;
 const CLIENTS: usize = 4;
 /// More than the span.
-const LONG_PATIENCE: Duration = Duration::from_secs(10);
+const LONG_TIMEOUT: Duration = Duration::from_secs(10);
 /// Less than the span.
-const SHORT_PATIENCE: Duration = Duration::from_secs(1);
+const SHORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The time that a process has had so far, in ticks: the fields `utime` and `stime`, the 14th and
 /// 15th.
@@ -41,7 +41,7 @@
 }
 
 /// The use of one core in this time, from 0 to 1.
-async fn core_share(process: u32, span: Duration) -> f64 {
+async fn core_use(process: u32, span: Duration) -> f64 {
     let (start, before) = (Instant::now(), ticks(process));
     sleep(span).await;
     (ticks(process) - before) / TICKS_PER_SECOND / start.elapsed().as_secs_f64()
@@ -64,11 +64,11 @@
     requests: impl Future<Output = RequestEnds>,
 ) -> RequestEnds {
     let process = router.process.id();
-    let idle = core_share(process, IDLE).await;
+    let idle = core_use(process, IDLE_SPAN).await;
     let log_before = router.process.log().len();
     router.injection.arm(true).unwrap();
     let failing = async {
-        let busy = core_share(process, SPAN).await;
+        let busy = core_use(process, FAILURE_SPAN).await;
         router.injection.arm(false).unwrap();
         (busy, router.process.log()[log_before..].to_string())
     };
@@ -79,23 +79,23 @@
     );
     assert!(injected > 0, "nothing was injected");
     assert!(
-        busy - idle < CORE_SHARE,
+        busy - idle < MAX_CORE_USE,
         "{busy:.3} of a core beside {idle:.3}"
     );
     for (kind, lines) in log_lines(&log) {
-        assert!(lines <= LOG_LINES, "{lines} lines: {kind}");
+        assert!(lines <= MAX_LOG_LINES, "{lines} lines: {kind}");
     }
     ends
 }
 
 #[tokio::test]
-async fn accept_that_fails_for_seconds() {
+async fn accept_failure_for_seconds() {
     let rule = Rule::new(Call::Accept4, Fault::Errno(errno::ENFILE), 1.0);
     let router = InjectedRouter::start(&[rule]).await;
     let requests = async {
         let (mut patient, hasty) = tokio::join!(
-            router.live_requests(CLIENTS, 1, LONG_PATIENCE),
-            router.live_requests(CLIENTS, 1, SHORT_PATIENCE),
+            router.live_requests(CLIENTS, 1, LONG_TIMEOUT),
+            router.live_requests(CLIENTS, 1, SHORT_TIMEOUT),
         );
         patient.add(hasty);
         patient
@@ -109,14 +109,14 @@
 }
 
 #[tokio::test]
-async fn connect_that_fails_for_seconds() {
+async fn connect_failure_for_seconds() {
     let rule = Rule::new(Call::Connect, Fault::Errno(errno::EADDRNOTAVAIL), 1.0);
     let router = InjectedRouter::start(&[rule]).await;
     let requests = async {
         let start = Instant::now();
-        let ends = router.live_requests(CLIENTS, 1, SHORT_PATIENCE).await;
+        let ends = router.live_requests(CLIENTS, 1, SHORT_TIMEOUT).await;
         assert!(
-            start.elapsed() < SPAN,
+            start.elapsed() < FAILURE_SPAN,
             "an answer came {:?} after its request",
             start.elapsed()
         );
@@ -124,7 +124,7 @@
     };
     let ends = fail_for_span(&router, Call::Connect, requests).await;
     assert_eq!(ends.rejected(), CLIENTS, "{ends:?}");
-    let after = router.live_requests(CLIENTS, 1, LONG_PATIENCE).await;
+    let after = router.live_requests(CLIENTS, 1, LONG_TIMEOUT).await;
     assert_eq!(
         after.count(&RequestEnd::Complete),
         CLIENTS,
--- a/tests/shutdown_deadline.rs
+++ b/tests/shutdown_deadline.rs
@@ -20,10 +20,10 @@
 const LONGEST_DEADLINE: Duration = Duration::from_secs(3);
 /// A request that was complete by then is not counted as lost if its answer has begun and outlasts
 /// SIGKILL.
-const TAKEN_IN_TIME: Duration = Duration::from_millis(700);
+const ACCEPTED_IN_TIME: Duration = Duration::from_millis(700);
 /// The program may not be scheduled for so long at any time.
 const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(150);
-/// From then on after the shutdown signal all streams go on for longer than the program may.
+/// From this time after the shutdown signal on, all streams last longer than the program may run.
 const LONG_STREAMS_AFTER: Duration = Duration::from_millis(500);
 /// Milliseconds between two first requests on connections of one kind.
 const STEP_MS: usize = 50;
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Delay {
     Never,
-    /// The shutdown signal comes as that begins.
+    /// The shutdown signal arrives as the delay begins.
     AtSigterm,
     /// So many milliseconds after the shutdown signal.
     After(u64),
@@ -72,8 +72,8 @@
     value.to_string()
 }
 
-/// Answers at once, after some time, never, and with a stream that goes on for longer than the
-/// program may; from some time after the shutdown signal with such streams alone.
+/// Answers at once, after some time, never, and with a stream that lasts longer than the program may
+/// run; from `LONG_STREAMS_AFTER` the shutdown signal on, only with such streams.
 fn script(n: usize, term: Option<Instant>) -> Vec<Step> {
     let part = |text: &str| Step::Write(chunk(&event(text)));
     let begun = Step::Write(STREAM.into());
@@ -115,7 +115,7 @@
 }
 
 /// The program is killed as early as the platform may: no request that it has read is without its
-/// whole answer.
+/// complete answer.
 #[rstest]
 #[case::short(300, Delay::Never)]
 #[case::middle(1000, Delay::Never)]
@@ -164,8 +164,8 @@
         longer = delay_program(&child, || {}).await;
     }
     let allowance = || longer + waited_for_processor(&child).saturating_sub(waited);
-    sleep_until(term + TAKEN_IN_TIME + MAX_SCHEDULING_DELAY).await;
-    let in_time = term + TAKEN_IN_TIME + allowance();
+    sleep_until(term + ACCEPTED_IN_TIME + MAX_SCHEDULING_DELAY).await;
+    let in_time = term + ACCEPTED_IN_TIME + allowance();
     let earliest = term + deadline.min(LONGEST_DEADLINE) + AFTER_DEADLINE;
     while Instant::now() < earliest + allowance() {
         sleep_until(earliest + allowance()).await;
--- a/tests/syscall_faults.rs
+++ b/tests/syscall_faults.rs
@@ -1,5 +1,5 @@
 //! The router while its system calls fail in the ways that Linux documents: every live request gets
-//! its whole answer.
+//! its complete answer.
 
 mod common;
 
@@ -18,7 +18,7 @@
 const REQUESTS_EACH: usize = 25;
 const REQUESTS: usize = CLIENTS * REQUESTS_EACH;
 /// Far more than any request needs, on a busy machine too.
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn fails(call: Call, errno: i32, rate: f64) -> Rule {
     Rule::new(call, Fault::Errno(errno), rate)
@@ -97,7 +97,7 @@
 async fn live_requests_survive_failing_calls(#[case] rules: Vec<Rule>) {
     let router = InjectedRouter::start(&rules).await;
     router.injection.arm(true).unwrap();
-    let ends = router.live_requests(CLIENTS, REQUESTS_EACH, PATIENCE).await;
+    let ends = router.live_requests(CLIENTS, REQUESTS_EACH, TIMEOUT).await;
     let counts = router.injection.counts().unwrap();
     println!("{ends:?}, injected {counts:?}");
     assert_injected(&rules, &counts);
@@ -133,12 +133,12 @@
     };
     let requests = async {
         let before = router
-            .live_requests(STEPPED_CLIENTS, STEPPED_EACH, PATIENCE)
+            .live_requests(STEPPED_CLIENTS, STEPPED_EACH, TIMEOUT)
             .await;
-        // news of the servers are read between the steps, too
+        // endpoint list updates are read between the steps, too
         router.discovery.drain(1);
         let after = router
-            .live_requests(STEPPED_CLIENTS, STEPPED_EACH, PATIENCE)
+            .live_requests(STEPPED_CLIENTS, STEPPED_EACH, TIMEOUT)
             .await;
         [before, after]
     };
@@ -147,9 +147,9 @@
         ends = requests => ends,
     };
     for ends in ends {
-        let whole = ends.count(&RequestEnd::Complete);
+        let complete = ends.count(&RequestEnd::Complete);
         assert_eq!(
-            whole,
+            complete,
             STEPPED_CLIENTS * STEPPED_EACH,
             "{ends:?}\n{}",
             router.process.log()
@@ -157,7 +157,7 @@
     }
 }
 
-/// Runs `check` on a sound configuration under these rules; whether it ends well, and what it says.
+/// Runs `check` on a sound configuration under these rules; whether it succeeds, and its error output.
 fn check_command(rules: &[Rule]) -> (bool, String, Vec<(Call, u64)>) {
     let folder = tempfile::tempdir().unwrap();
     let config = folder.path().join("config.json");
@@ -173,8 +173,8 @@
         .arg(config)
         .envs(injection.environment());
     let output = command.output().unwrap();
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    (output.status.success(), said, injection.counts().unwrap())
+    let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+    (output.status.success(), errors, injection.counts().unwrap())
 }
 
 #[rstest]
@@ -182,24 +182,24 @@
 #[case::read_fails(fails(Call::FileRead, errno::EIO, 1.0), Some("os error 5"))]
 #[case::read_is_short(short(Call::FileRead, 1.0), None)]
 fn file_errors_reach_the_user(#[case] rule: Rule, #[case] problem: Option<&str>) {
-    let (success, said, counts) = check_command(&[rule]);
+    let (success, errors, counts) = check_command(&[rule]);
     assert_injected(&[rule], &counts);
-    assert_eq!(success, problem.is_none(), "{said}");
-    assert!(said.contains(problem.unwrap_or_default()), "{said}");
+    assert_eq!(success, problem.is_none(), "{errors}");
+    assert!(errors.contains(problem.unwrap_or_default()), "{errors}");
 }
 
 #[test]
 fn rules_apply_from_their_beginning() {
     let late = Rule {
-        from: PATIENCE,
+        from: TIMEOUT,
         ..fails(Call::Open, errno::ENFILE, 1.0)
     };
-    let (success, said, counts) = check_command(&[late]);
-    assert!(success && counts.is_empty(), "{said} {counts:?}");
+    let (success, errors, counts) = check_command(&[late]);
+    assert!(success && counts.is_empty(), "{errors} {counts:?}");
 }
 
 #[tokio::test]
-async fn runtime_wakes_stay_whole() {
+async fn runtime_wakes_survive_interrupted_reads() {
     let folder = tempfile::tempdir().unwrap();
     let rule = fails(Call::Recv, errno::EINTR, 1.0);
     let injection = Injection::new(folder.path(), 1, &[rule]).unwrap();
