--- a/tests/common/scripted.rs
+++ b/tests/common/scripted_core.rs
@@ -1,4 +1,4 @@
-//! A core with a scripted connector.
+//! A core whose connector opens no connections: tests read the commands to the upstreams.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -10,20 +10,22 @@
 use stilespan::interface::{Entry, ReplicaId, Settings, Timestamp};
 use tokio::sync::mpsc;
 
-pub type Opened = Arc<Mutex<Vec<(ReplicaId, mpsc::Receiver<UpstreamCommand>)>>>;
+/// The upstreams that the core has opened, in their order, each with the commands to it.
+pub type OpenedUpstreams = Arc<Mutex<Vec<(ReplicaId, mpsc::Receiver<UpstreamCommand>)>>>;
 
-/// Keeps the mailboxes of the upstreams that it was asked for.
-pub struct Scripted(pub Opened);
+/// A connector that keeps the mailboxes of the upstreams that the core opens.
+pub struct ScriptedConnector(pub OpenedUpstreams);
 
-impl Connector for Scripted {
+impl Connector for ScriptedConnector {
     fn open(&self, replica: ReplicaId, _: &Endpoint) -> mpsc::Sender<UpstreamCommand> {
-        let (to, orders) = mpsc::channel(8);
-        self.0.lock().unwrap().push((replica, orders));
-        to
+        let (sender, commands) = mpsc::channel(8);
+        self.0.lock().unwrap().push((replica, commands));
+        sender
     }
 }
 
-pub fn host(id: u64, address: &str, started: u64) -> Endpoint {
+/// An endpoint in service.
+pub fn endpoint(id: u64, address: &str, started: u64) -> Endpoint {
     let entry = Entry {
         replica: ReplicaId(id),
         started: Timestamp::from_micros(started),
@@ -38,7 +40,11 @@
     }
 }
 
-pub fn parts(connector: Scripted, discovery: mpsc::Sender<DiscoveryCommand>) -> CoreOptions {
+/// Options of a core with this connector and default settings.
+pub fn core_options(
+    connector: ScriptedConnector,
+    discovery: mpsc::Sender<DiscoveryCommand>,
+) -> CoreOptions {
     CoreOptions {
         settings: Settings::default(),
         seed: 1,
@@ -51,8 +57,8 @@
     }
 }
 
-/// An RPC of the first class, whose client waits for so many milliseconds.
-pub fn rpc(patience: u64) -> Request {
+/// A request of the first class whose client waits for so many milliseconds.
+pub fn core_request(timeout_ms: u64) -> Request {
     let attributes = RequestAttributes {
         class: 0,
         tenant: 0,
@@ -63,7 +69,7 @@
         max_output_tokens: 10,
         expected_work: Duration::ZERO,
         received_at: Instant::now(),
-        timeout: Duration::from_millis(patience),
+        timeout: Duration::from_millis(timeout_ms),
         client_retry: false,
         resumed: false,
         interactive: true,
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -4,7 +4,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use common::scripted::*;
+use common::scripted_core::*;
 use rstest::rstest;
 use stilespan::core::actor::{Core, CoreOptions};
 use stilespan::core::{
@@ -14,14 +14,17 @@
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep, timeout};
 
-/// An operator's command is carried out before clients' messages, however many wait.
+/// An operator's command is executed before clients' messages, however many wait.
 #[tokio::test]
 async fn maintenance_overtakes_full_mailbox() {
-    let (resolver, _asked) = mpsc::channel(4);
-    let (handle, messages) = Core::start(parts(Scripted(Opened::default()), resolver));
+    let (discovery, _discovery_commands) = mpsc::channel(4);
+    let (handle, messages) = Core::start(core_options(
+        ScriptedConnector(OpenedUpstreams::default()),
+        discovery,
+    ));
     let listed = EndpointsUpdate {
         kind: ListKind::Persisted,
-        endpoints: vec![host(1, "127.0.0.1:1", 0)],
+        endpoints: vec![endpoint(1, "127.0.0.1:1", 0)],
     };
     messages
         .send(Message::EndpointsUpdated(listed))
@@ -63,22 +66,23 @@
     );
 }
 
-/// A server that is back at its address with a new start: idle connections of the process before
+/// A server that is back at its address with a new start: idle connections to the previous process
 /// are not used for it. The same entry listed again changes nothing.
 #[rstest]
 #[case::restarted(7, true)]
 #[case::listed_again(0, false)]
 #[tokio::test]
 async fn restarted_server_gets_new_upstream(#[case] started: u64, #[case] reopened: bool) {
-    let opened = Opened::default();
-    let (resolver, _asked) = mpsc::channel(4);
-    let (_handle, messages) = Core::start(parts(Scripted(opened.clone()), resolver));
+    let opened = OpenedUpstreams::default();
+    let (discovery, _discovery_commands) = mpsc::channel(4);
+    let (_handle, messages) =
+        Core::start(core_options(ScriptedConnector(opened.clone()), discovery));
     for (kind, started) in [(ListKind::Complete, 0), (ListKind::Partial, started)] {
-        let hosts = vec![host(1, "127.0.0.1:1", started)];
+        let endpoints = vec![endpoint(1, "127.0.0.1:1", started)];
         messages
             .send(Message::EndpointsUpdated(EndpointsUpdate {
                 kind,
-                endpoints: hosts,
+                endpoints,
             }))
             .await
             .unwrap();
@@ -90,7 +94,7 @@
     assert_eq!(closed.is_ok_and(|command| command.is_none()), reopened);
 }
 
-/// A model server disappears unnoticed and a new one starts at its address: what is meant for the old
+/// A model server disappears unnoticed and a new one starts at its address: requests for the old
 /// one must not reach the new one. An old entry that is listed again doesn't close the new upstream.
 #[rstest]
 #[case::another_address("127.0.0.1:2", 7, [false, false])]
@@ -101,17 +105,18 @@
     #[case] started: u64,
     #[case] ended: [bool; 2],
 ) {
-    let opened = Opened::default();
-    let (resolver, _asked) = mpsc::channel(4);
-    let (_handle, messages) = Core::start(parts(Scripted(opened.clone()), resolver));
-    for (kind, host) in [
-        (ListKind::Persisted, host(1, "127.0.0.1:1", 0)),
-        (ListKind::Partial, host(2, address, started)),
+    let opened = OpenedUpstreams::default();
+    let (discovery, _discovery_commands) = mpsc::channel(4);
+    let (_handle, messages) =
+        Core::start(core_options(ScriptedConnector(opened.clone()), discovery));
+    for (kind, endpoint) in [
+        (ListKind::Persisted, endpoint(1, "127.0.0.1:1", 0)),
+        (ListKind::Partial, endpoint(2, address, started)),
     ] {
         messages
             .send(Message::EndpointsUpdated(EndpointsUpdate {
                 kind,
-                endpoints: vec![host],
+                endpoints: vec![endpoint],
             }))
             .await
             .unwrap();
@@ -120,8 +125,8 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let mut opened = std::mem::take(&mut *opened.lock().unwrap());
-    for ((replica, orders), ended) in opened.iter_mut().zip(ended) {
-        let closed = timeout(Duration::from_millis(100), orders.recv()).await;
+    for ((replica, commands), ended) in opened.iter_mut().zip(ended) {
+        let closed = timeout(Duration::from_millis(100), commands.recv()).await;
         assert_eq!(
             closed.is_ok_and(|command| command.is_none()),
             ended,
@@ -130,10 +135,11 @@
     }
 }
 
+/// An hour, in microseconds.
 const HOUR: i64 = 3_600_000_000;
 
-/// A server joins with a start by a clock that was stepped: it is cold for its time to warm up, and
-/// then warm.
+/// A server joins with a start time from a stepped clock: it is warming up for the slow start's
+/// duration, and then warm.
 #[rstest]
 #[case::an_hour_ahead(HOUR, 100, true)]
 #[case::an_hour_behind(-HOUR, 60_000, false)]
@@ -143,8 +149,8 @@
     #[case] warm_after: u64,
     #[case] warm: bool,
 ) {
-    let opened = Opened::default();
-    let (resolver, _asked) = mpsc::channel(4);
+    let opened = OpenedUpstreams::default();
+    let (discovery, _discovery_commands) = mpsc::channel(4);
     let (classes, warm_after) = (
         vec![Class::default()],
         Span::from_micros(warm_after * 1_000),
@@ -154,16 +160,16 @@
         warm_after,
         ..Settings::default()
     };
-    let parts = CoreOptions {
+    let options = CoreOptions {
         settings,
-        ..parts(Scripted(opened.clone()), resolver)
+        ..core_options(ScriptedConnector(opened.clone()), discovery)
     };
-    let (handle, messages) = Core::start(parts);
+    let (handle, messages) = Core::start(options);
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
         .as_micros() as u64;
-    let mut old = host(1, "127.0.0.1:1", 0);
+    let mut old = endpoint(1, "127.0.0.1:1", 0);
     let list = EndpointsUpdate {
         kind: ListKind::Complete,
         endpoints: vec![old.clone()],
@@ -173,7 +179,7 @@
         .await
         .unwrap();
     old.entry.state = State::Terminated;
-    let joined = host(2, "127.0.0.1:2", now.saturating_add_signed(ahead));
+    let joined = endpoint(2, "127.0.0.1:2", now.saturating_add_signed(ahead));
     let change = EndpointsUpdate {
         kind: ListKind::Partial,
         endpoints: vec![old, joined],
@@ -183,11 +189,16 @@
         .await
         .unwrap();
     sleep(Duration::from_millis(150)).await;
-    let mut tickets = Vec::new();
+    let mut pending = Vec::new();
     for _ in 0..8 {
-        tickets.push(handle.submit(rpc(5_000)).await.expect("the core runs"));
+        pending.push(
+            handle
+                .submit(core_request(5_000))
+                .await
+                .expect("the core runs"),
+        );
     }
-    let (replica, mut orders) = opened
+    let (replica, mut commands) = opened
         .lock()
         .unwrap()
         .pop()
@@ -196,12 +207,12 @@
     let all = async {
         for _ in 0..8 {
             while !matches!(
-                orders.recv().await.expect("the core runs"),
+                commands.recv().await.expect("the core runs"),
                 UpstreamCommand::StartAttempt(_)
             ) {}
         }
     };
-    // a cold server gets a small part of what it is asked for
-    let patience = Duration::from_millis(if warm { 4_000 } else { 300 });
-    assert_eq!(timeout(patience, all).await.is_ok(), warm);
+    // a warming server gets a small part of the requests
+    let limit = Duration::from_millis(if warm { 4_000 } else { 300 });
+    assert_eq!(timeout(limit, all).await.is_ok(), warm);
 }
--- /dev/null
+++ b/tests/core_races/endpoints.rs
@@ -0,0 +1,109 @@
+//! Attempts against changes of the endpoint list, and disconnections of their clients.
+
+use std::time::Instant;
+
+use rstest::rstest;
+use stilespan::core::{Message, StartDecision};
+use stilespan::interface::{Class, ListKind, Outcome, State};
+use tokio::time::{Duration, sleep, timeout};
+
+use crate::common::scripted_core::*;
+use crate::harness::*;
+
+/// A server is drained, is removed, or is missing from a complete list while an attempt waits for
+/// its connection there.
+#[rstest]
+#[case::drained(ListKind::Partial, Some(State::Terminating))]
+#[case::removed(ListKind::Partial, Some(State::Terminated))]
+#[case::drained_in_complete_list(ListKind::Complete, Some(State::Terminating))]
+#[case::missing_from_complete_list(ListKind::Complete, None)]
+#[tokio::test]
+async fn unstarted_attempt_leaves_drained_server(
+    #[case] kind: ListKind,
+    #[case] state: Option<State>,
+) {
+    let core = start_core(2, Class::default()).await;
+    let _pending = core.handle.submit(core_request(5000)).await.unwrap();
+    let (replica, mut waiting) = core.next_attempt().await;
+    let endpoints = (1..=2)
+        .map(|id| endpoint(id, &format!("127.0.0.1:{id}"), 0))
+        .filter_map(|mut endpoint| {
+            if endpoint.entry.replica == replica {
+                endpoint.entry.state = state?;
+            }
+            Some(endpoint)
+        });
+    core.update_endpoints(kind, endpoints.collect()).await;
+    let (other, attempt) = core.next_attempt().await;
+    assert_ne!(other, replica);
+    assert_ne!(
+        waiting.gate.try_start(Instant::now()),
+        StartDecision::Start,
+        "started at a drained server"
+    );
+    assert!(
+        timeout(TIMEOUT, &mut waiting.cancelled)
+            .await
+            .expect("cancelled")
+            .is_err()
+    );
+    assert_eq!(attempt.gate.try_start(Instant::now()), StartDecision::Start);
+}
+
+/// A started attempt stays where it is: a draining server finishes what it has in flight.
+#[tokio::test]
+async fn started_attempt_stays_at_drained_server() {
+    let core = start_core(2, Class::default()).await;
+    let _pending = core.handle.submit(core_request(5000)).await.unwrap();
+    let (replica, mut started) = core.next_attempt().await;
+    assert_eq!(started.gate.try_start(Instant::now()), StartDecision::Start);
+    let mut drained = endpoint(replica.0, &format!("127.0.0.1:{}", replica.0), 0);
+    drained.entry.state = State::Terminating;
+    core.update_endpoints(ListKind::Partial, vec![drained])
+        .await;
+    assert!(
+        timeout(Duration::from_millis(100), &mut started.cancelled)
+            .await
+            .is_err(),
+        "cancelled"
+    );
+}
+
+/// A client that disconnects while its attempt waits for a connection, and between two attempts.
+#[rstest]
+#[case::waiting_for_a_connection(false)]
+#[case::between_attempts(true)]
+#[tokio::test]
+async fn no_attempt_for_disconnected_client(#[case] between: bool) {
+    let core = start_core(2, Class::default()).await;
+    let pending = core.handle.submit(core_request(5000)).await.unwrap();
+    let (_, attempt) = core.next_attempt().await;
+    if between {
+        assert_eq!(attempt.gate.try_start(Instant::now()), StartDecision::Start);
+        // the outcome and the disconnection are handled in one step
+        core.messages
+            .try_send(Message::AttemptEnded {
+                id: attempt.id,
+                at: Instant::now(),
+                result: Outcome::Reset.into(),
+            })
+            .unwrap();
+        drop(pending);
+        if let Ok((_, late)) = timeout(Duration::from_millis(100), core.next_attempt()).await {
+            sleep(Duration::from_millis(50)).await;
+            assert_ne!(
+                late.gate.try_start(Instant::now()),
+                StartDecision::Start,
+                "started for a disconnected client"
+            );
+        }
+    } else {
+        drop(pending);
+        sleep(Duration::from_millis(50)).await;
+        assert_ne!(
+            attempt.gate.try_start(Instant::now()),
+            StartDecision::Start,
+            "started for a disconnected client"
+        );
+    }
+}
--- /dev/null
+++ b/tests/core_races/outcomes.rs
@@ -0,0 +1,121 @@
+//! Attempts against their time limits, and against outcomes that arrive late or twice.
+
+use std::time::Instant;
+
+use rstest::rstest;
+use stilespan::core::{Answer, StartDecision};
+use stilespan::interface::{Class, Effect, Outcome, Span};
+use tokio::time::{Duration, timeout};
+
+use crate::common::scripted_core::*;
+use crate::harness::*;
+
+/// A retry that was decided on within its deduplication window, and whose connection is established
+/// after it.
+#[tokio::test]
+async fn no_retry_starts_after_its_window() {
+    let class = Class {
+        effect: Effect::Keyed,
+        window: Span::from_millis(400),
+        ..Class::default()
+    };
+    let core = start_core(2, class).await;
+    let _pending = core.handle.submit(core_request(5000)).await.unwrap();
+    let (_, first) = core.next_attempt().await;
+    let sent = Instant::now();
+    assert_eq!(first.gate.try_start(sent), StartDecision::Start);
+    core.report_outcome(&first, Outcome::Reset).await;
+    let (_, retry) = core.next_attempt().await;
+    assert_ne!(
+        retry.gate.try_start(sent + Duration::from_millis(401)),
+        StartDecision::Start,
+        "started after its window"
+    );
+    assert_eq!(
+        retry.gate.try_start(sent + Duration::from_millis(300)),
+        StartDecision::Start,
+        "not started in its window"
+    );
+}
+
+/// An attempt without a connection by its deadline has never run: the client may retry, also where a
+/// second run would do harm.
+#[rstest]
+#[case::not_started(false)]
+#[case::started(true)]
+#[tokio::test]
+async fn timeout_before_first_byte_never_ran(#[case] starts: bool) {
+    let class = Class {
+        effect: Effect::Unsafe,
+        aim: Span::from_millis(200),
+        ..Class::default()
+    };
+    let core = start_core(1, class).await;
+    let mut pending = core.handle.submit(core_request(300)).await.unwrap();
+    let (_, attempt) = core.next_attempt().await;
+    if starts {
+        assert_eq!(attempt.gate.try_start(Instant::now()), StartDecision::Start);
+    }
+    let answer = timeout(TIMEOUT, pending.answer()).await.expect("an answer");
+    match answer {
+        Answer::Rejected {
+            forwarded: sent, ..
+        } => assert!(!starts && !sent),
+        Answer::Failed {
+            forwarded: sent, ..
+        } => assert!(starts && sent),
+        Answer::Started(_) => panic!("nothing has answered"),
+    }
+}
+
+/// The process is suspended between an attempt's command and its first byte.
+#[tokio::test]
+async fn no_attempt_from_before_stall_starts() {
+    // nothing else ends the attempt when the process resumes
+    let class = Class {
+        aim: Span::from_secs(10),
+        deadline: Span::from_secs(15),
+        ..Class::default()
+    };
+    let core = start_core(1, class).await;
+    let _pending = core.handle.submit(core_request(15_000)).await.unwrap();
+    let (_, mut attempt) = core.next_attempt().await;
+    std::thread::sleep(Duration::from_millis(700));
+    assert!(
+        timeout(TIMEOUT, &mut attempt.cancelled)
+            .await
+            .expect("cancelled")
+            .is_err()
+    );
+    assert_ne!(attempt.gate.try_start(Instant::now()), StartDecision::Start);
+}
+
+/// Two outcomes of one attempt, in either command, and one that comes after its attempt has ended:
+/// the first counts.
+#[rstest]
+#[case::reset_then_rejected([Outcome::Reset, Outcome::Full])]
+#[case::rejected_then_reset([Outcome::Full, Outcome::Reset])]
+#[case::twice_the_same([Outcome::Error, Outcome::Error])]
+#[tokio::test]
+async fn attempt_has_one_outcome(#[case] outcomes: [Outcome; 2]) {
+    let core = start_core(2, Class::default()).await;
+    let _pending = core.handle.submit(core_request(5000)).await.unwrap();
+    let (_, first) = core.next_attempt().await;
+    assert_eq!(first.gate.try_start(Instant::now()), StartDecision::Start);
+    for outcome in outcomes {
+        core.report_outcome(&first, outcome).await;
+    }
+    let (_, mut second) = core.next_attempt().await;
+    assert_eq!(second.id.attempt, 1);
+    assert_eq!(second.gate.try_start(Instant::now()), StartDecision::Start);
+    // the late outcome of the first is none of the second, and commands no third beside it
+    core.report_outcome(&first, Outcome::Reset).await;
+    assert!(
+        timeout(Duration::from_millis(100), &mut second.cancelled)
+            .await
+            .is_err(),
+        "cancelled"
+    );
+    let third = timeout(Duration::from_millis(100), core.next_attempt()).await;
+    assert!(third.is_err(), "a second attempt at once");
+}
--- a/tests/stalls.rs
+++ b/tests/stalls.rs
@@ -1,11 +1,11 @@
-//! A process that was suspended and wakes late. Here the thread is blocked, which to the core is the
-//! same.
+//! A process that was suspended and resumes late. Here the thread is blocked, which is the same to
+//! the core.
 
 mod common;
 
 use std::time::Instant;
 
-use common::scripted::*;
+use common::scripted_core::*;
 use stilespan::core::actor::{Core, CoreOptions};
 use stilespan::core::{DiscoveryCommand, EndpointsUpdate, Message, UpstreamCommand};
 use stilespan::interface::{Class, ListKind, ReplicaId, Settings, State};
@@ -13,54 +13,56 @@
 use tokio::time::{Duration, sleep, timeout};
 
 /// A core with two endpoints, its mailbox, the commands to discovery and those to the upstreams.
-async fn running() -> (
+async fn start_core() -> (
     stilespan::core::CoreHandle,
     mpsc::Sender<Message>,
     mpsc::Receiver<DiscoveryCommand>,
-    Opened,
+    OpenedUpstreams,
 ) {
-    let opened = Opened::default();
-    let (resolver, asked) = mpsc::channel(4);
+    let opened = OpenedUpstreams::default();
+    let (discovery, discovery_commands) = mpsc::channel(4);
     let settings = Settings {
         classes: vec![Class::default()],
         ..Settings::default()
     };
     let (handle, messages) = Core::start(CoreOptions {
         settings,
-        ..parts(Scripted(opened.clone()), resolver)
+        ..core_options(ScriptedConnector(opened.clone()), discovery)
     });
-    let hosts = vec![host(1, "127.0.0.1:1", 0), host(2, "127.0.0.1:2", 0)];
+    let endpoints = vec![endpoint(1, "127.0.0.1:1", 0), endpoint(2, "127.0.0.1:2", 0)];
     messages
         .send(Message::EndpointsUpdated(EndpointsUpdate {
             kind: ListKind::Complete,
-            endpoints: hosts,
+            endpoints,
         }))
         .await
         .unwrap();
     while opened.lock().unwrap().len() < 2 {
         sleep(Duration::from_millis(1)).await;
     }
-    (handle, messages, asked, opened)
+    (handle, messages, discovery_commands, opened)
 }
 
 /// The next command to the discovery actor.
-async fn order(asked: &mut mpsc::Receiver<DiscoveryCommand>) -> Option<DiscoveryCommand> {
-    timeout(Duration::from_secs(5), asked.recv())
+async fn next_command(
+    discovery_commands: &mut mpsc::Receiver<DiscoveryCommand>,
+) -> Option<DiscoveryCommand> {
+    timeout(Duration::from_secs(5), discovery_commands.recv())
         .await
         .expect("a command for the discovery actor")
 }
 
 /// Attempts that each upstream was commanded so far.
-fn sent(opened: &Opened) -> Vec<(ReplicaId, usize)> {
+fn sent(opened: &OpenedUpstreams) -> Vec<(ReplicaId, usize)> {
     let mut opened = opened.lock().unwrap();
-    let attempts = |orders: &mut mpsc::Receiver<UpstreamCommand>| {
-        std::iter::from_fn(|| orders.try_recv().ok())
+    let attempts = |commands: &mut mpsc::Receiver<UpstreamCommand>| {
+        std::iter::from_fn(|| commands.try_recv().ok())
             .filter(|o| matches!(o, UpstreamCommand::StartAttempt(_)))
             .count()
     };
     opened
         .iter_mut()
-        .map(|(replica, orders)| (*replica, attempts(orders)))
+        .map(|(replica, commands)| (*replica, attempts(commands)))
         .collect()
 }
 
@@ -68,25 +70,33 @@
 /// refreshed, and then not to the server that was drained meanwhile.
 #[tokio::test]
 async fn requests_wait_for_refreshed_endpoints() {
-    let (handle, messages, mut asked, opened) = running().await;
-    let mut tickets = Vec::new();
+    let (handle, messages, mut discovery_commands, opened) = start_core().await;
+    let mut pending = Vec::new();
     std::thread::sleep(Duration::from_millis(700));
     for _ in 0..8 {
-        tickets.push(handle.submit(rpc(5000)).await.expect("the core runs"));
+        pending.push(
+            handle
+                .submit(core_request(5000))
+                .await
+                .expect("the core runs"),
+        );
     }
-    assert_eq!(order(&mut asked).await, Some(DiscoveryCommand::Refresh));
+    assert_eq!(
+        next_command(&mut discovery_commands).await,
+        Some(DiscoveryCommand::Refresh)
+    );
     sleep(Duration::from_millis(50)).await;
     assert!(
         sent(&opened).iter().all(|s| s.1 == 0),
         "sent before the refresh"
     );
-    let mut drained = host(1, "127.0.0.1:1", 0);
+    let mut drained = endpoint(1, "127.0.0.1:1", 0);
     drained.entry.state = State::Terminating;
-    let hosts = vec![drained, host(2, "127.0.0.1:2", 0)];
+    let endpoints = vec![drained, endpoint(2, "127.0.0.1:2", 0)];
     messages
         .send(Message::EndpointsUpdated(EndpointsUpdate {
             kind: ListKind::Complete,
-            endpoints: hosts,
+            endpoints,
         }))
         .await
         .unwrap();
@@ -99,10 +109,16 @@
 #[tokio::test]
 async fn failed_refresh_ends_suspension() {
     for answered in [true, false] {
-        let (handle, messages, mut asked, opened) = running().await;
+        let (handle, messages, mut discovery_commands, opened) = start_core().await;
         std::thread::sleep(Duration::from_millis(700));
-        let _ticket = handle.submit(rpc(5000)).await.expect("the core runs");
-        assert_eq!(order(&mut asked).await, Some(DiscoveryCommand::Refresh));
+        let _pending = handle
+            .submit(core_request(5000))
+            .await
+            .expect("the core runs");
+        assert_eq!(
+            next_command(&mut discovery_commands).await,
+            Some(DiscoveryCommand::Refresh)
+        );
         if answered {
             let failed = EndpointsUpdate {
                 kind: ListKind::Error,
