--- /dev/null
+++ b/tests/balancer/events.rs
@@ -0,0 +1,82 @@
+//! Polls of the endpoint list, and events of unknown requests.
+
+use stilespan::interface::*;
+
+use crate::common::*;
+
+#[test]
+fn list_polls_have_jitter() {
+    let set = Settings {
+        ask: true,
+        must_ask_in: Span::from_secs(8),
+        ..settings()
+    };
+    let mut times = Vec::new();
+    for seed in 0..20 {
+        let mut balancer = stilespan::Balancer::new(set.clone(), seed, START);
+        let mut now = START;
+        let mut next_poll = |now: &mut Timestamp, events: Vec<Event>| {
+            let begin = *now;
+            for k in 0..10_000 {
+                let mut actions = Vec::new();
+                balancer.step(*now, if k == 0 { &events } else { &[] }, &mut actions);
+                if actions.contains(&Action::Watch) {
+                    return *now - begin;
+                }
+                *now = *now + Span::from_millis(2);
+            }
+            panic!("never polled");
+        };
+        let start = next_poll(&mut now, vec![]);
+        assert!(start <= Span::from_secs(2));
+        times.push(start);
+        for _ in 0..5 {
+            assert!(next_poll(&mut now, vec![list(ListKind::Error, vec![])]) <= Span::from_secs(8));
+        }
+    }
+    times.sort();
+    times.dedup();
+    assert!(times.len() > 10, "at the same times: {times:?}");
+}
+
+#[test]
+fn unknown_ids_change_nothing() {
+    let mut gateway = Gateway::new(settings(), 0);
+    let events = vec![
+        ended(5, 0, Outcome::Ok, true),
+        first(5, 3, 100),
+        Event::Gone {
+            request: RequestId(5),
+        },
+        Event::Timer { mark: 99 },
+        Event::Probed {
+            replica: ReplicaId(8),
+            outcome: Outcome::Ok,
+            took: Span::from_micros(5),
+            report: None,
+        },
+        Event::Peer {
+            from: 3,
+            bytes: [1, 2].into(),
+        },
+    ];
+    assert!(gateway.step(1_000, events).is_empty());
+    // with no replica at all a request is still answered in time
+    assert!(gateway.ask(1_000, arrival(1)).is_empty());
+    assert!(refused(&gateway.step(1_000_000, vec![]), 1));
+    // an outcome of an attempt that does not exist, and one reported twice
+    gateway.step(0, vec![list(ListKind::Complete, vec![entry(0)])]);
+    gateway.ask(10_000, arrival(2));
+    assert!(
+        gateway
+            .step(1_000, vec![ended(2, 7, Outcome::Ok, false)])
+            .is_empty()
+    );
+    gateway.step(
+        1_000,
+        vec![
+            ended(2, 0, Outcome::Ok, true),
+            ended(2, 0, Outcome::Ok, true),
+        ],
+    );
+}
--- /dev/null
+++ b/tests/balancer/retries.rs
@@ -0,0 +1,59 @@
+//! Which attempts may be retried, and the answers of requests that are not.
+
+use stilespan::interface::*;
+
+use crate::common::*;
+
+#[test]
+fn unsafe_retry_needs_unrun_attempt() {
+    let mut set = settings();
+    set.classes[0].effect = Effect::Unsafe;
+    for (outcome, again) in [
+        (Outcome::Full, true),
+        (Outcome::ConnectFailed, true),
+        (Outcome::Reset, false),
+    ] {
+        let mut gateway = Gateway::new(set.clone(), 2);
+        gateway.ask(2_000, arrival(1));
+        let actions = gateway.step(2_000, vec![ended(1, 0, outcome, false)]);
+        assert_eq!(!sends(&actions).is_empty(), again, "{outcome:?}");
+        assert_eq!(failed(&actions, 1), !again, "{outcome:?}");
+        assert!(!refused(&actions, 1));
+    }
+}
+
+#[test]
+fn keyed_retry_stays_in_its_window() {
+    let mut set = settings();
+    set.classes[0] = Class {
+        effect: Effect::Keyed,
+        group: Group::Cell,
+        ..set.classes[0].clone()
+    };
+    let fleet = |cells: [u32; 2]| {
+        let entries = cells.iter().enumerate().map(|(k, &cell)| Entry {
+            cell,
+            ..entry(k as u64)
+        });
+        list(ListKind::Persisted, entries.collect())
+    };
+    let run = |cells, window| {
+        let mut set = set.clone();
+        set.classes[0].window = Span::from_micros(window);
+        let mut gateway = Gateway::new(set, 0);
+        gateway.step(0, vec![fleet(cells)]);
+        gateway.ask(2_000, arrival(1));
+        gateway.step(50_000, vec![ended(1, 0, Outcome::Error, false)])
+    };
+    assert_eq!(sends(&run([3, 3], 5_000_000)).len(), 1);
+    assert!(sends(&run([3, 4], 5_000_000)).is_empty());
+    assert!(sends(&run([3, 3], 40_000)).is_empty());
+}
+
+#[test]
+fn deadline_timeout_is_answered() {
+    let mut gateway = Gateway::new(settings(), 1);
+    gateway.ask(2_000, arrival(1));
+    let actions = gateway.step(1_000_000, vec![ended(1, 0, Outcome::Timeout, false)]);
+    assert!(refused(&actions, 1));
+}
