--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -8,7 +8,7 @@
 fn traffic_over_quota_is_shed_first() {
     let set = Settings {
         quotas: vec![20.0, 20.0],
-        over_share_worth: 0.05,
+        over_quota_weight: 0.05,
         ..settings()
     };
     let mut gateway = Gateway::new(set, 1);
@@ -26,7 +26,7 @@
         );
         shed[tenant as usize] += usize::from(refused(&actions, id));
         for (sent, _) in sends(&actions) {
-            gateway.step(0, vec![ended(sent, 0, Outcome::Full, false)]);
+            gateway.step(0, vec![ended(sent, 0, Outcome::Rejected, false)]);
         }
     }
     assert!(shed[0] > 500 && shed[1] * 5 < shed[0], "{shed:?}");
@@ -41,13 +41,13 @@
         let actions = gateway.ask(
             10_000,
             Arrival {
-                repeat,
+                is_retry: repeat,
                 ..arrival(id)
             },
         );
         shed[usize::from(repeat)] += usize::from(refused(&actions, id));
         for (sent, _) in sends(&actions) {
-            gateway.step(0, vec![ended(sent, 0, Outcome::Full, false)]);
+            gateway.step(0, vec![ended(sent, 0, Outcome::Rejected, false)]);
         }
     }
     assert!(shed[1] > 500 && shed[1] > shed[0], "{shed:?}");
@@ -60,10 +60,15 @@
     let mut gateway = Gateway::new(settings(), 2);
     for id in 1..400 {
         let mut sent = sends(&gateway.ask(10_000, arrival(id)));
-        for trial in 0..3 {
-            let full = sent
-                .iter()
-                .map(|s| ended(s.0, trial * u32::from(s.0 == id), Outcome::Full, false));
+        for attempt in 0..3 {
+            let full = sent.iter().map(|s| {
+                ended(
+                    s.0,
+                    attempt * u32::from(s.0 == id),
+                    Outcome::Rejected,
+                    false,
+                )
+            });
             sent = sends(&gateway.step(0, full.collect()));
         }
     }
@@ -76,7 +81,7 @@
         served += sent.len();
         for (id, _) in sent.drain(..) {
             gateway.step(50_000, vec![first(id, 0, 50_000)]);
-            gateway.step(50_000, vec![ended(id, 0, Outcome::Ok, true)]);
+            gateway.step(50_000, vec![ended(id, 0, Outcome::Completed, true)]);
         }
     }
     assert!(served > 90, "{served}");
@@ -96,12 +101,15 @@
         let outcome = if id == 80 {
             Outcome::Error
         } else {
-            Outcome::Ok
+            Outcome::Completed
         };
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Completed {
             gateway.step(50_000, vec![first(id, 0, 50_000)]);
         }
-        gateway.step(10_000, vec![ended(id, 0, outcome, outcome == Outcome::Ok)]);
+        gateway.step(
+            10_000,
+            vec![ended(id, 0, outcome, outcome == Outcome::Completed)],
+        );
     }
     assert!(
         rejections <= 1,
@@ -118,16 +126,16 @@
     for id in 1..=300 {
         let mut actions = gateway.ask(50_000, arrival(id));
         assert!(!refused(&actions, id), "request {id} after {rejections}");
-        for trial in 0.. {
+        for attempt in 0.. {
             let Some(&(_, replica)) = sends(&actions).first() else {
                 break;
             };
-            if trial < 2 && (u64::from(id) + replica).is_multiple_of(5) {
+            if attempt < 2 && (u64::from(id) + replica).is_multiple_of(5) {
                 rejections += 1;
-                actions = gateway.step(5_000, vec![ended(id, trial, Outcome::Full, false)]);
+                actions = gateway.step(5_000, vec![ended(id, attempt, Outcome::Rejected, false)]);
             } else {
-                gateway.step(5_000, vec![first(id, trial, 10_000)]);
-                actions = gateway.step(1_000, vec![ended(id, trial, Outcome::Ok, true)]);
+                gateway.step(5_000, vec![first(id, attempt, 10_000)]);
+                actions = gateway.step(1_000, vec![ended(id, attempt, Outcome::Completed, true)]);
             }
         }
     }
@@ -137,13 +145,13 @@
 #[test]
 fn objective_grows_with_work() {
     let mut set = settings();
-    set.classes[0].aim_stretch = 2.0;
+    set.classes[0].first_token_objective_stretch = 2.0;
     for (hint, late) in [(0, true), (1_000_000, false), (90_000_000, false)] {
         let mut gateway = Gateway::new(set.clone(), 0);
         gateway.ask(
             0,
             Arrival {
-                hint: Span::from_micros(hint),
+                expected_work: Span::from_micros(hint),
                 ..arrival(1)
             },
         );
--- a/tests/balancer/dispatch.rs
+++ b/tests/balancer/dispatch.rs
@@ -8,13 +8,13 @@
 fn queue_drains_by_due_time() {
     let mut set = settings();
     set.classes.push(Class {
-        aim: Span::from_millis(600),
+        first_token_objective: Span::from_millis(600),
         ..set.classes[0].clone()
     });
     let mut gateway = Gateway::new(set, 1);
     // far beyond any slack budget, yet the most urgent request is sent
     let long = Arrival {
-        prompt: 5_000,
+        prompt_tokens: 5_000,
         ..arrival(1)
     };
     assert_eq!(sends(&gateway.ask(2_000, long)), [(1, 0)]);
@@ -32,38 +32,38 @@
     );
     // it matures at once when none of our streams is left; the shorter objective goes first
     gateway.step(10_000, vec![first(1, 0, 200_000)]);
-    let actions = gateway.step(10_000, vec![ended(1, 0, Outcome::Ok, true)]);
+    let actions = gateway.step(10_000, vec![ended(1, 0, Outcome::Completed, true)]);
     assert_eq!(sends(&actions)[0], (3, 0));
 }
 
 #[test]
 fn session_returns_to_its_cache() {
     let mut set = settings();
-    set.classes[0].aim_per_1000 = Span::from_millis(100);
+    set.classes[0].first_token_objective_per_1000_prompt_tokens = Span::from_millis(100);
     let mut gateway = Gateway::new(set, 6);
     let turn = |id| Arrival {
         session: Some(77),
-        prompt: 4_000,
+        prompt_tokens: 4_000,
         ..arrival(id)
     };
     let home = sends(&gateway.ask(2_000, turn(1)))[0].1;
     gateway.step(500_000, vec![first(1, 0, 480_000)]);
-    gateway.step(300_000, vec![ended(1, 0, Outcome::Ok, true)]);
+    gateway.step(300_000, vec![ended(1, 0, Outcome::Completed, true)]);
     for id in 2..8 {
         assert_eq!(sends(&gateway.ask(2_000_000, turn(id))), [(id, home)]);
         gateway.step(100_000, vec![first(id, 0, 60_000)]);
-        gateway.step(100_000, vec![ended(id, 0, Outcome::Ok, true)]);
+        gateway.step(100_000, vec![ended(id, 0, Outcome::Completed, true)]);
     }
 }
 
 #[test]
 fn cached_long_prompt_meets_its_deadline() {
     let mut gateway = Gateway::new(settings(), 2);
-    let serve = |gateway: &mut Gateway, request: Arrival, took: u64| {
+    let serve = |gateway: &mut Gateway, request: Arrival, elapsed: u64| {
         let id = request.request.0;
         let sent = sends(&gateway.ask(2_000, request));
-        gateway.step(took, vec![first(id, 0, took)]);
-        gateway.step(10_000, vec![ended(id, 0, Outcome::Ok, true)]);
+        gateway.step(elapsed, vec![first(id, 0, elapsed)]);
+        gateway.step(10_000, vec![ended(id, 0, Outcome::Completed, true)]);
         sent
     };
     // 0.2 s for 500 tokens all over the fleet: the objective of 1 s is reached at about 2,500
@@ -71,7 +71,7 @@
         serve(
             &mut gateway,
             Arrival {
-                prompt: 250 + 250 * (id % 3),
+                prompt_tokens: 250 + 250 * (id % 3),
                 ..arrival(id)
             },
             100_000 + 100_000 * u64::from(id % 3),
@@ -81,7 +81,7 @@
     for turn in 1..10 {
         let request = Arrival {
             session: Some(9),
-            prompt: 500 * turn,
+            prompt_tokens: 500 * turn,
             ..arrival(100 + turn)
         };
         assert_eq!(
@@ -94,7 +94,7 @@
     let actions = gateway.ask(
         2_000,
         Arrival {
-            prompt: 4_500,
+            prompt_tokens: 4_500,
             ..arrival(200)
         },
     );
@@ -104,7 +104,7 @@
 #[test]
 fn warming_replica_gets_its_part() {
     let set = Settings {
-        instances: 4,
+        router_count: 4,
         ..settings()
     };
     let mut gateway = Gateway::new(set, 4);
@@ -112,11 +112,11 @@
     let mut to_warming = [0; 2];
     for (second, count) in to_warming.iter_mut().enumerate() {
         if second == 1 {
-            let started = Entry {
-                started: gateway.now,
+            let started = ReplicaEntry {
+                started_at: gateway.now,
                 ..entry(9)
             };
-            gateway.step(1_000, vec![list(ListKind::Partial, vec![started])]);
+            gateway.step(1_000, vec![list(EndpointListKind::Partial, vec![started])]);
         }
         for _ in 0..100 {
             id += 1;
@@ -125,7 +125,7 @@
                 .filter(|s| s.1 == 9)
                 .count();
             gateway.step(1_000, vec![first(id, 0, 1_000)]);
-            gateway.step(1_000, vec![ended(id, 0, Outcome::Ok, true)]);
+            gateway.step(1_000, vec![ended(id, 0, Outcome::Completed, true)]);
         }
     }
     // a fifth replica's part of 100 requests is 20; a warming one's is half of four times a tenth
@@ -144,6 +144,6 @@
         let sent = sends(&gateway.ask(900_000, arrival(id)));
         assert!(sent.iter().all(|s| s.1 != slow), "{sent:?}");
         gateway.step(10_000, vec![first(id, 0, 50_000)]);
-        gateway.step(10_000, vec![ended(id, 0, Outcome::Ok, true)]);
+        gateway.step(10_000, vec![ended(id, 0, Outcome::Completed, true)]);
     }
 }
--- a/tests/balancer/events.rs
+++ b/tests/balancer/events.rs
@@ -7,8 +7,8 @@
 #[test]
 fn list_polls_have_jitter() {
     let set = Settings {
-        ask: true,
-        must_ask_in: Span::from_secs(8),
+        endpoints_on_request: true,
+        staleness_bound: Span::from_secs(8),
         ..settings()
     };
     let mut times = Vec::new();
@@ -20,7 +20,7 @@
             for k in 0..10_000 {
                 let mut actions = Vec::new();
                 balancer.step(*now, if k == 0 { &events } else { &[] }, &mut actions);
-                if actions.contains(&Action::Watch) {
+                if actions.contains(&Action::WatchEndpoints) {
                     return *now - begin;
                 }
                 *now = *now + Span::from_millis(2);
@@ -31,7 +31,10 @@
         assert!(start <= Span::from_secs(2));
         times.push(start);
         for _ in 0..5 {
-            assert!(next_poll(&mut now, vec![list(ListKind::Error, vec![])]) <= Span::from_secs(8));
+            assert!(
+                next_poll(&mut now, vec![list(EndpointListKind::Error, vec![])])
+                    <= Span::from_secs(8)
+            );
         }
     }
     times.sort();
@@ -43,19 +46,19 @@
 fn unknown_ids_change_nothing() {
     let mut gateway = Gateway::new(settings(), 0);
     let events = vec![
-        ended(5, 0, Outcome::Ok, true),
+        ended(5, 0, Outcome::Completed, true),
         first(5, 3, 100),
-        Event::Gone {
+        Event::ClientDisconnected {
             request: RequestId(5),
         },
-        Event::Timer { mark: 99 },
-        Event::Probed {
+        Event::TimerFired { timer_id: 99 },
+        Event::HealthCheckEnded(HealthCheckEnded {
             replica: ReplicaId(8),
-            outcome: Outcome::Ok,
-            took: Span::from_micros(5),
-            report: None,
-        },
-        Event::Peer {
+            outcome: Outcome::Completed,
+            elapsed: Span::from_micros(5),
+            load_report: None,
+        }),
+        Event::PeerMessage {
             from: 3,
             bytes: [1, 2].into(),
         },
@@ -65,18 +68,18 @@
     assert!(gateway.ask(1_000, arrival(1)).is_empty());
     assert!(refused(&gateway.step(1_000_000, vec![]), 1));
     // an outcome of an attempt that does not exist, and one reported twice
-    gateway.step(0, vec![list(ListKind::Complete, vec![entry(0)])]);
+    gateway.step(0, vec![list(EndpointListKind::Complete, vec![entry(0)])]);
     gateway.ask(10_000, arrival(2));
     assert!(
         gateway
-            .step(1_000, vec![ended(2, 7, Outcome::Ok, false)])
+            .step(1_000, vec![ended(2, 7, Outcome::Completed, false)])
             .is_empty()
     );
     gateway.step(
         1_000,
         vec![
-            ended(2, 0, Outcome::Ok, true),
-            ended(2, 0, Outcome::Ok, true),
+            ended(2, 0, Outcome::Completed, true),
+            ended(2, 0, Outcome::Completed, true),
         ],
     );
 }
--- a/tests/balancer/replicas.rs
+++ b/tests/balancer/replicas.rs
@@ -7,9 +7,9 @@
 #[test]
 fn fault_delays_maturity() {
     for outcome in [
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::Error,
-        Outcome::Reset,
+        Outcome::ConnectionReset,
         Outcome::ConnectFailed,
     ] {
         let mut gateway = Gateway::new(settings(), 2);
@@ -25,19 +25,22 @@
     let (mut failures, mut failing) = (0, None);
     for id in 1..=400 {
         let mut actions = gateway.ask(5_000, arrival(id));
-        for trial in 0..3 {
+        for attempt in 0..3 {
             assert!(!refused(&actions, id));
             let [(_, replica)] = sends(&actions)[..] else {
                 panic!("{actions:?}")
             };
             // the first replica that is tried takes no connections
             if replica != *failing.get_or_insert(replica) {
-                gateway.step(1_000, vec![first(id, trial, 1_000)]);
-                gateway.step(1_000, vec![ended(id, trial, Outcome::Ok, true)]);
+                gateway.step(1_000, vec![first(id, attempt, 1_000)]);
+                gateway.step(1_000, vec![ended(id, attempt, Outcome::Completed, true)]);
                 break;
             }
             failures += 1;
-            actions = gateway.step(1_000, vec![ended(id, trial, Outcome::ConnectFailed, false)]);
+            actions = gateway.step(
+                1_000,
+                vec![ended(id, attempt, Outcome::ConnectFailed, false)],
+            );
         }
     }
     // in about three seconds, of 400 requests
@@ -50,16 +53,16 @@
     let mut gateway = Gateway::new(settings(), 1);
     assert_eq!(sends(&gateway.ask(2_000, arrival(1))).len(), 1);
     gateway.step(50_000, vec![first(1, 0, 50_000)]);
-    let (request, took, outcome) = (RequestId(1), Span::from_secs(4), Outcome::Reset);
-    let broken = Event::Ended {
+    let (request, elapsed, outcome) = (RequestId(1), Span::from_secs(4), Outcome::ConnectionReset);
+    let broken = Event::AttemptEnded(AttemptEnded {
         request,
-        trial: 0,
+        attempt: 0,
         outcome,
-        took,
-        kept: None,
-        closed: true,
-        report: None,
-    };
+        elapsed,
+        cached_tokens: None,
+        request_complete: true,
+        load_report: None,
+    });
     gateway.step(3_950_000, vec![broken]);
     gateway.step(1_500_000, vec![]);
     assert_eq!(sends(&gateway.ask(2_000, arrival(2))).len(), 1);
@@ -67,11 +70,14 @@
 
 #[test]
 fn draining_replicas_get_nothing_new() {
-    for state in [State::Terminating, State::Terminated] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut gateway = Gateway::new(settings(), 1);
         gateway.step(
             2_000,
-            vec![list(ListKind::Partial, vec![Entry { state, ..entry(0) }])],
+            vec![list(
+                EndpointListKind::Partial,
+                vec![ReplicaEntry { state, ..entry(0) }],
+            )],
         );
         let actions = gateway.ask(2_000, arrival(1));
         assert!(sends(&actions).is_empty());
@@ -81,7 +87,10 @@
     }
     // a replica that a complete list does not name is removed too
     let mut gateway = Gateway::new(settings(), 2);
-    gateway.step(2_000, vec![list(ListKind::Complete, vec![entry(1)])]);
+    gateway.step(
+        2_000,
+        vec![list(EndpointListKind::Complete, vec![entry(1)])],
+    );
     assert_eq!(sends(&gateway.ask(2_000, arrival(1))), [(1, 1)]);
 }
 
@@ -90,19 +99,19 @@
 fn withdrawn_replicas_free_memory() {
     let mut gateway = Gateway::new(settings(), 2);
     for k in 2..500 {
-        let removed = Entry {
-            state: State::Terminated,
+        let removed = ReplicaEntry {
+            state: EndpointState::Removed,
             ..entry(k - 2)
         };
         gateway.step(
             20_000,
-            vec![list(ListKind::Partial, vec![removed, entry(k)])],
+            vec![list(EndpointListKind::Partial, vec![removed, entry(k)])],
         );
         let id = k as u32;
         let sent = sends(&gateway.ask(2_000, arrival(id)));
         assert!(sent.iter().all(|s| s.1 == k || s.1 == k - 1), "{sent:?}");
         gateway.step(5_000, vec![first(id, 0, 10_000)]);
-        gateway.step(1_000, vec![ended(id, 0, Outcome::Ok, true)]);
+        gateway.step(1_000, vec![ended(id, 0, Outcome::Completed, true)]);
     }
     assert!(
         gateway.balancer.tracked_replicas() <= 4,
--- a/tests/balancer/retries.rs
+++ b/tests/balancer/retries.rs
@@ -7,11 +7,11 @@
 #[test]
 fn unsafe_retry_needs_unrun_attempt() {
     let mut set = settings();
-    set.classes[0].effect = Effect::Unsafe;
+    set.classes[0].idempotency = Idempotency::NonIdempotent;
     for (outcome, again) in [
-        (Outcome::Full, true),
+        (Outcome::Rejected, true),
         (Outcome::ConnectFailed, true),
-        (Outcome::Reset, false),
+        (Outcome::ConnectionReset, false),
     ] {
         let mut gateway = Gateway::new(set.clone(), 2);
         gateway.ask(2_000, arrival(1));
@@ -26,20 +26,20 @@
 fn keyed_retry_stays_in_its_window() {
     let mut set = settings();
     set.classes[0] = Class {
-        effect: Effect::Keyed,
-        group: Group::Cell,
+        idempotency: Idempotency::Keyed,
+        deduplication_scope: DeduplicationScope::Cell,
         ..set.classes[0].clone()
     };
     let fleet = |cells: [u32; 2]| {
-        let entries = cells.iter().enumerate().map(|(k, &cell)| Entry {
+        let entries = cells.iter().enumerate().map(|(k, &cell)| ReplicaEntry {
             cell,
             ..entry(k as u64)
         });
-        list(ListKind::Persisted, entries.collect())
+        list(EndpointListKind::Persisted, entries.collect())
     };
     let run = |cells, window| {
         let mut set = set.clone();
-        set.classes[0].window = Span::from_micros(window);
+        set.classes[0].deduplication_window = Span::from_micros(window);
         let mut gateway = Gateway::new(set, 0);
         gateway.step(0, vec![fleet(cells)]);
         gateway.ask(2_000, arrival(1));
--- a/tests/common/random_events.rs
+++ b/tests/common/random_events.rs
@@ -15,10 +15,10 @@
 
 /// Outcomes that may be reported after an attempt's first one.
 const REPEATED_OUTCOMES: [Outcome; 6] = [
-    Outcome::Ok,
+    Outcome::Completed,
     Outcome::Error,
-    Outcome::Full,
-    Outcome::Reset,
+    Outcome::Rejected,
+    Outcome::ConnectionReset,
     Outcome::ConnectFailed,
     Outcome::Timeout,
 ];
@@ -35,30 +35,30 @@
 /// Settings with a class of each kind of idempotency and scope, and random limits.
 pub fn random_settings(rng: &mut StdRng) -> Settings {
     let mut classes = Vec::new();
-    for (effect, group) in [
-        (Effect::Safe, Group::All),
-        (Effect::Keyed, Group::All),
-        (Effect::Keyed, Group::Zone),
-        (Effect::Keyed, Group::Cell),
-        (Effect::Unsafe, Group::All),
+    for (idempotency, deduplication_scope) in [
+        (Idempotency::Idempotent, DeduplicationScope::All),
+        (Idempotency::Keyed, DeduplicationScope::All),
+        (Idempotency::Keyed, DeduplicationScope::Zone),
+        (Idempotency::Keyed, DeduplicationScope::Cell),
+        (Idempotency::NonIdempotent, DeduplicationScope::All),
     ] {
-        let late_worth = if rng.random_bool(0.3) { 0.5 } else { 0.0 };
+        let late_weight = if rng.random_bool(0.3) { 0.5 } else { 0.0 };
         classes.push(Class {
-            effect,
-            group,
-            late_worth,
-            window: Span::from_millis(400),
+            idempotency,
+            deduplication_scope,
+            late_weight,
+            deduplication_window: Span::from_millis(400),
             ..Class::default()
         });
     }
     Settings {
         classes,
-        instances: rng.random_range(1..30),
+        router_count: rng.random_range(1..30),
         quotas: vec![30.0, 5.0],
-        over_share_worth: 0.1,
-        cancel: rng.random_bool(0.5),
-        second_copies: rng.random_bool(0.5),
-        ask: rng.random_bool(0.5),
+        over_quota_weight: 0.1,
+        cancellation: rng.random_bool(0.5),
+        hedged_requests: rng.random_bool(0.5),
+        endpoints_on_request: rng.random_bool(0.5),
         ..super::settings()
     }
 }
@@ -82,7 +82,7 @@
             events.push(ended(
                 self.rng.random_range(0..9_999_999),
                 3,
-                Outcome::Ok,
+                Outcome::Completed,
                 true,
             ));
         }
@@ -90,27 +90,30 @@
     }
 
     fn endpoint_update(&mut self) -> Event {
-        let kind =
-            [ListKind::Partial, ListKind::Complete, ListKind::Error][self.rng.random_range(0..3)];
+        let kind = [
+            EndpointListKind::Partial,
+            EndpointListKind::Complete,
+            EndpointListKind::Error,
+        ][self.rng.random_range(0..3)];
         let mut entries = Vec::new();
         for k in 0..REPLICAS {
             if self.rng.random_bool(0.5) {
                 entries.push(self.entry(k));
             }
         }
-        if kind == ListKind::Error {
+        if kind == EndpointListKind::Error {
             return list(kind, vec![]);
         }
         self.model.update_endpoints(kind, &entries);
         list(kind, entries)
     }
 
-    fn entry(&mut self, k: u64) -> Entry {
+    fn entry(&mut self, k: u64) -> ReplicaEntry {
         let states = [
-            State::InService,
-            State::InService,
-            State::Terminating,
-            State::Terminated,
+            EndpointState::InService,
+            EndpointState::InService,
+            EndpointState::Draining,
+            EndpointState::Removed,
         ];
         let state = states[self.rng.random_range(0..4)];
         let started = if self.rng.random_bool(0.2) {
@@ -122,12 +125,12 @@
             if started.as_micros() > 0 {
                 started
             } else {
-                e.started
+                e.started_at
             }
         });
-        Entry {
+        ReplicaEntry {
             state,
-            started: known,
+            started_at: known,
             zone: k as u32 % 2,
             cell: k as u32 / 2,
             ..entry(k)
@@ -138,12 +141,12 @@
         let (id, class) = (self.next_request, self.rng.random_range(0..5));
         self.next_request += 1;
         let timeout = TIMEOUTS[self.rng.random_range(0..3)];
-        let valid_until = self.model.now + Span::from_micros(timeout);
+        let expires_at = self.model.now + Span::from_micros(timeout);
         self.model.requests.insert(
             id,
             ModelRequest {
                 class: class as usize,
-                valid_until,
+                expires_at,
                 attempts: vec![],
                 answered: false,
             },
@@ -153,19 +156,18 @@
             .rng
             .random_bool(0.7)
             .then(|| self.rng.random_range(0..50));
-        let shared = prompt / 2;
         let prefix = self.rng.random_bool(0.5).then_some(7);
-        let cap = self.rng.random_range(0..400);
-        Event::Request(Arrival {
+        let max_output_tokens = self.rng.random_range(0..400);
+        Event::RequestReceived(Arrival {
             request: RequestId(id),
             class,
             tenant,
             session,
             prefix,
-            prompt,
-            shared,
-            cap,
-            valid_until,
+            prompt_tokens: prompt,
+            shared_prefix_tokens: prompt / 2,
+            max_output_tokens,
+            expires_at,
             ..Arrival::default()
         })
     }
@@ -184,7 +186,7 @@
             }
             return;
         }
-        if !attempt.streaming && now >= request.valid_until {
+        if !attempt.streaming && now >= request.expires_at {
             events.push(self.end_attempt(id, index, true));
         } else if self.rng.random_bool(0.05) {
             if !attempt.streaming && !answered && self.rng.random_bool(0.6) {
@@ -199,12 +201,12 @@
 
     fn end_attempt(&mut self, id: u32, index: usize, timeout: bool) -> Event {
         let outcomes = [
-            Outcome::Ok,
-            Outcome::Ok,
-            Outcome::Ok,
+            Outcome::Completed,
+            Outcome::Completed,
+            Outcome::Completed,
             Outcome::Error,
-            Outcome::Full,
-            Outcome::Reset,
+            Outcome::Rejected,
+            Outcome::ConnectionReset,
             Outcome::ConnectFailed,
         ];
         let request = self.model.requests.get_mut(&id).unwrap();
@@ -214,13 +216,13 @@
             outcomes[self.rng.random_range(0..7)]
         };
         let streaming = request.attempts[index].streaming;
-        let outcome = if streaming && outcome != Outcome::Ok {
-            Outcome::Reset
+        let outcome = if streaming && outcome != Outcome::Completed {
+            Outcome::ConnectionReset
         } else {
             outcome
         };
         request.attempts[index].outcome = Some(outcome);
-        request.answered |= outcome == Outcome::Ok || streaming;
+        request.answered |= outcome == Outcome::Completed || streaming;
         ended(id, index as u32, outcome, request.answered)
     }
 }
--- a/tests/common/rule_model.rs
+++ b/tests/common/rule_model.rs
@@ -18,7 +18,7 @@
 /// A request that was handed to the module.
 pub struct ModelRequest {
     pub class: usize,
-    pub valid_until: Timestamp,
+    pub expires_at: Timestamp,
     pub attempts: Vec<ModelAttempt>,
     /// It has its final answer, or its stream has ended.
     pub answered: bool,
@@ -43,7 +43,7 @@
     pub settings: Settings,
     pub now: Timestamp,
     pub requests: BTreeMap<u32, ModelRequest>,
-    pub endpoints: BTreeMap<u64, Entry>,
+    pub endpoints: BTreeMap<u64, ReplicaEntry>,
     /// Replicas that are draining or removed, and since when.
     pub unavailable_since: BTreeMap<u64, Timestamp>,
 }
@@ -60,8 +60,8 @@
     }
 
     /// Takes in an endpoint list update.
-    pub fn update_endpoints(&mut self, kind: ListKind, entries: &[Entry]) {
-        if kind == ListKind::Complete {
+    pub fn update_endpoints(&mut self, kind: EndpointListKind, entries: &[ReplicaEntry]) {
+        if kind == EndpointListKind::Complete {
             for k in std::mem::take(&mut self.endpoints).into_keys() {
                 self.unavailable_since.entry(k).or_insert(self.now);
             }
@@ -70,7 +70,7 @@
             let k = entry.replica.0;
             self.endpoints.insert(k, entry.clone());
             match entry.state {
-                State::InService => drop(self.unavailable_since.remove(&k)),
+                EndpointState::InService => drop(self.unavailable_since.remove(&k)),
                 _ => drop(self.unavailable_since.entry(k).or_insert(self.now)),
             }
         }
@@ -79,18 +79,18 @@
     /// Fails where an action breaks a rule, and takes the action in.
     pub fn check(&mut self, action: &Action) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 request, replica, ..
             } => self.check_send(request.0, replica.0),
-            Action::Refuse { request, .. } => self.check_answer(request.0, true),
+            Action::Reject { request, .. } => self.check_answer(request.0, true),
             Action::Fail { request } => self.check_answer(request.0, false),
-            Action::Cancel { request, trial } => {
-                assert!(self.settings.cancel);
-                assert!((*trial as usize) < self.requests[&request.0].attempts.len());
+            Action::CancelAttempt { request, attempt } => {
+                assert!(self.settings.cancellation);
+                assert!((*attempt as usize) < self.requests[&request.0].attempts.len());
             }
-            Action::Timer { at, .. } => assert!(*at > self.now),
-            Action::Watch => assert!(self.settings.ask),
-            Action::Probe { .. } => panic!("health checks are not allowed here"),
+            Action::SetTimer { at, .. } => assert!(*at > self.now),
+            Action::WatchEndpoints => assert!(self.settings.endpoints_on_request),
+            Action::CheckHealth { .. } => panic!("health checks are not allowed here"),
         }
     }
 
@@ -106,7 +106,7 @@
         assert!(!model.answered, "sent after the final answer");
         assert!(model.attempts.len() < self.settings.max_attempts as usize);
         assert!(
-            !model.in_flight() || self.settings.second_copies,
+            !model.in_flight() || self.settings.hedged_requests,
             "two attempts in flight"
         );
         let ran = model
@@ -114,17 +114,17 @@
             .iter()
             .find(|a| a.outcome.is_none_or(|o| !o.never_ran()));
         let class = &self.settings.classes[model.class];
-        if let (Some(ran), true) = (ran, class.effect != Effect::Safe) {
+        if let (Some(ran), true) = (ran, class.idempotency != Idempotency::Idempotent) {
             assert_eq!(
-                class.effect,
-                Effect::Keyed,
+                class.idempotency,
+                Idempotency::Keyed,
                 "a non-idempotent request again"
             );
-            assert!(self.now - ran.sent < class.window);
-            let same = match class.group {
-                Group::All => true,
-                Group::Zone => ran.replica % 2 == replica % 2,
-                Group::Cell => ran.replica == replica,
+            assert!(self.now - ran.sent < class.deduplication_window);
+            let same = match class.deduplication_scope {
+                DeduplicationScope::All => true,
+                DeduplicationScope::Zone => ran.replica % 2 == replica % 2,
+                DeduplicationScope::Cell => ran.replica == replica,
             };
             assert!(same, "outside the deduplication scope");
         }
@@ -149,10 +149,10 @@
             .iter()
             .all(|a| a.outcome.is_some_and(Outcome::never_ran));
         let class = &self.settings.classes[model.class];
-        let harmless = match class.effect {
-            Effect::Safe => true,
-            Effect::Keyed => never_ran || class.group == Group::All,
-            Effect::Unsafe => never_ran,
+        let harmless = match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed => never_ran || class.deduplication_scope == DeduplicationScope::All,
+            Idempotency::NonIdempotent => never_ran,
         };
         assert!(
             harmless || !retry_is_harmless,
--- a/tests/common/scripted_core.rs
+++ b/tests/common/scripted_core.rs
@@ -7,7 +7,7 @@
 use stilespan::core::{
     Connector, DiscoveryCommand, Endpoint, Request, RequestAttributes, UpstreamCommand,
 };
-use stilespan::interface::{Entry, ReplicaId, Settings, Timestamp};
+use stilespan::interface::{ReplicaEntry, ReplicaId, Settings, Timestamp};
 use tokio::sync::mpsc;
 
 /// The upstreams that the core has opened, in their order, each with the commands to it.
@@ -26,11 +26,11 @@
 
 /// An endpoint in service.
 pub fn endpoint(id: u64, address: &str, started: u64) -> Endpoint {
-    let entry = Entry {
+    let entry = ReplicaEntry {
         replica: ReplicaId(id),
-        started: Timestamp::from_micros(started),
-        rating: 1.0,
-        ..Entry::default()
+        started_at: Timestamp::from_micros(started),
+        weight: 1.0,
+        ..ReplicaEntry::default()
     };
     Endpoint {
         name: format!("s-{id}"),
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -10,7 +10,9 @@
 use stilespan::core::{
     EndpointsUpdate, MAILBOX_CAPACITY, MaintenanceAction, Message, UpstreamCommand,
 };
-use stilespan::interface::{Class, ListKind, ReplicaId, RequestId, Settings, Span, State};
+use stilespan::interface::{
+    Class, EndpointListKind, EndpointState, ReplicaId, RequestId, Settings, Span,
+};
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep, timeout};
 
@@ -23,7 +25,7 @@
         discovery,
     ));
     let listed = EndpointsUpdate {
-        kind: ListKind::Persisted,
+        kind: EndpointListKind::Persisted,
         endpoints: vec![endpoint(1, "127.0.0.1:1", 0)],
     };
     messages
@@ -77,7 +79,10 @@
     let (discovery, _discovery_commands) = mpsc::channel(4);
     let (_handle, messages) =
         Core::start(core_options(ScriptedConnector(opened.clone()), discovery));
-    for (kind, started) in [(ListKind::Complete, 0), (ListKind::Partial, started)] {
+    for (kind, started) in [
+        (EndpointListKind::Complete, 0),
+        (EndpointListKind::Partial, started),
+    ] {
         let endpoints = vec![endpoint(1, "127.0.0.1:1", started)];
         messages
             .send(Message::EndpointsUpdated(EndpointsUpdate {
@@ -110,8 +115,8 @@
     let (_handle, messages) =
         Core::start(core_options(ScriptedConnector(opened.clone()), discovery));
     for (kind, endpoint) in [
-        (ListKind::Persisted, endpoint(1, "127.0.0.1:1", 0)),
-        (ListKind::Partial, endpoint(2, address, started)),
+        (EndpointListKind::Persisted, endpoint(1, "127.0.0.1:1", 0)),
+        (EndpointListKind::Partial, endpoint(2, address, started)),
     ] {
         messages
             .send(Message::EndpointsUpdated(EndpointsUpdate {
@@ -157,7 +162,7 @@
     );
     let settings = Settings {
         classes,
-        warm_after,
+        slow_start_duration: warm_after,
         ..Settings::default()
     };
     let options = CoreOptions {
@@ -171,17 +176,17 @@
         .as_micros() as u64;
     let mut old = endpoint(1, "127.0.0.1:1", 0);
     let list = EndpointsUpdate {
-        kind: ListKind::Complete,
+        kind: EndpointListKind::Complete,
         endpoints: vec![old.clone()],
     };
     messages
         .send(Message::EndpointsUpdated(list))
         .await
         .unwrap();
-    old.entry.state = State::Terminated;
+    old.entry.state = EndpointState::Removed;
     let joined = endpoint(2, "127.0.0.1:2", now.saturating_add_signed(ahead));
     let change = EndpointsUpdate {
-        kind: ListKind::Partial,
+        kind: EndpointListKind::Partial,
         endpoints: vec![old, joined],
     };
     messages
--- a/tests/core_races/endpoints.rs
+++ b/tests/core_races/endpoints.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use stilespan::core::{Message, StartDecision};
-use stilespan::interface::{Class, ListKind, Outcome, State};
+use stilespan::interface::{Class, EndpointListKind, EndpointState, Outcome};
 use tokio::time::{Duration, sleep, timeout};
 
 use crate::common::scripted_core::*;
@@ -13,14 +13,14 @@
 /// A server is drained, is removed, or is missing from a complete list while an attempt waits for
 /// its connection there.
 #[rstest]
-#[case::drained(ListKind::Partial, Some(State::Terminating))]
-#[case::removed(ListKind::Partial, Some(State::Terminated))]
-#[case::drained_in_complete_list(ListKind::Complete, Some(State::Terminating))]
-#[case::missing_from_complete_list(ListKind::Complete, None)]
+#[case::drained(EndpointListKind::Partial, Some(EndpointState::Draining))]
+#[case::removed(EndpointListKind::Partial, Some(EndpointState::Removed))]
+#[case::drained_in_complete_list(EndpointListKind::Complete, Some(EndpointState::Draining))]
+#[case::missing_from_complete_list(EndpointListKind::Complete, None)]
 #[tokio::test]
 async fn unstarted_attempt_leaves_drained_server(
-    #[case] kind: ListKind,
-    #[case] state: Option<State>,
+    #[case] kind: EndpointListKind,
+    #[case] state: Option<EndpointState>,
 ) {
     let core = start_core(2, Class::default()).await;
     let _pending = core.handle.submit(core_request(5000)).await.unwrap();
@@ -58,8 +58,8 @@
     let (replica, mut started) = core.next_attempt().await;
     assert_eq!(started.gate.try_start(Instant::now()), StartDecision::Start);
     let mut drained = endpoint(replica.0, &format!("127.0.0.1:{}", replica.0), 0);
-    drained.entry.state = State::Terminating;
-    core.update_endpoints(ListKind::Partial, vec![drained])
+    drained.entry.state = EndpointState::Draining;
+    core.update_endpoints(EndpointListKind::Partial, vec![drained])
         .await;
     assert!(
         timeout(Duration::from_millis(100), &mut started.cancelled)
@@ -85,7 +85,7 @@
             .try_send(Message::AttemptEnded {
                 id: attempt.id,
                 at: Instant::now(),
-                result: Outcome::Reset.into(),
+                result: Outcome::ConnectionReset.into(),
             })
             .unwrap();
         drop(pending);
--- a/tests/core_races/harness.rs
+++ b/tests/core_races/harness.rs
@@ -6,7 +6,7 @@
 use stilespan::core::{
     Attempt, AttemptResult, CoreHandle, EndpointsUpdate, Message, UpstreamCommand,
 };
-use stilespan::interface::{Class, ListKind, Outcome, ReplicaId, Settings};
+use stilespan::interface::{Class, EndpointListKind, Outcome, ReplicaId, Settings};
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep, timeout};
 
@@ -30,7 +30,7 @@
     let settings = Settings {
         classes: vec![class],
         max_attempts: 3,
-        cancel: true,
+        cancellation: true,
         ..Settings::default()
     };
     let options = CoreOptions {
@@ -46,7 +46,7 @@
         _discovery_commands: discovery_commands,
     };
     core.update_endpoints(
-        ListKind::Complete,
+        EndpointListKind::Complete,
         (1..=endpoints)
             .map(|id| endpoint(id, &format!("127.0.0.1:{id}"), 0))
             .collect(),
@@ -62,7 +62,7 @@
     /// Sends an endpoint list update.
     pub async fn update_endpoints(
         &self,
-        kind: ListKind,
+        kind: EndpointListKind,
         endpoints: Vec<stilespan::core::Endpoint>,
     ) {
         self.messages
--- a/tests/core_races/outcomes.rs
+++ b/tests/core_races/outcomes.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use stilespan::core::{Answer, StartDecision};
-use stilespan::interface::{Class, Effect, Outcome, Span};
+use stilespan::interface::{Class, Idempotency, Outcome, Span};
 use tokio::time::{Duration, timeout};
 
 use crate::common::scripted_core::*;
@@ -15,8 +15,8 @@
 #[tokio::test]
 async fn no_retry_starts_after_its_window() {
     let class = Class {
-        effect: Effect::Keyed,
-        window: Span::from_millis(400),
+        idempotency: Idempotency::Keyed,
+        deduplication_window: Span::from_millis(400),
         ..Class::default()
     };
     let core = start_core(2, class).await;
@@ -24,7 +24,7 @@
     let (_, first) = core.next_attempt().await;
     let sent = Instant::now();
     assert_eq!(first.gate.try_start(sent), StartDecision::Start);
-    core.report_outcome(&first, Outcome::Reset).await;
+    core.report_outcome(&first, Outcome::ConnectionReset).await;
     let (_, retry) = core.next_attempt().await;
     assert_ne!(
         retry.gate.try_start(sent + Duration::from_millis(401)),
@@ -46,8 +46,8 @@
 #[tokio::test]
 async fn timeout_before_first_byte_never_ran(#[case] starts: bool) {
     let class = Class {
-        effect: Effect::Unsafe,
-        aim: Span::from_millis(200),
+        idempotency: Idempotency::NonIdempotent,
+        first_token_objective: Span::from_millis(200),
         ..Class::default()
     };
     let core = start_core(1, class).await;
@@ -73,7 +73,7 @@
 async fn no_attempt_from_before_stall_starts() {
     // nothing else ends the attempt when the process resumes
     let class = Class {
-        aim: Span::from_secs(10),
+        first_token_objective: Span::from_secs(10),
         deadline: Span::from_secs(15),
         ..Class::default()
     };
@@ -93,8 +93,8 @@
 /// Two outcomes of one attempt, in either command, and one that comes after its attempt has ended:
 /// the first counts.
 #[rstest]
-#[case::reset_then_rejected([Outcome::Reset, Outcome::Full])]
-#[case::rejected_then_reset([Outcome::Full, Outcome::Reset])]
+#[case::reset_then_rejected([Outcome::ConnectionReset, Outcome::Rejected])]
+#[case::rejected_then_reset([Outcome::Rejected, Outcome::ConnectionReset])]
 #[case::twice_the_same([Outcome::Error, Outcome::Error])]
 #[tokio::test]
 async fn attempt_has_one_outcome(#[case] outcomes: [Outcome; 2]) {
@@ -109,7 +109,7 @@
     assert_eq!(second.id.attempt, 1);
     assert_eq!(second.gate.try_start(Instant::now()), StartDecision::Start);
     // the late outcome of the first is none of the second, and commands no third beside it
-    core.report_outcome(&first, Outcome::Reset).await;
+    core.report_outcome(&first, Outcome::ConnectionReset).await;
     assert!(
         timeout(Duration::from_millis(100), &mut second.cancelled)
             .await
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -54,7 +54,7 @@
         ("s-b", b.address.as_str(), "SERVING"),
     ];
     let mut config = config(&hosts, Some(&discovery.address));
-    config.settings.ask = polled;
+    config.settings.endpoints_on_request = polled;
     let router = route(config).await;
     until("the watch goes on after a failure", || {
         discovery.requests() > 4
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -42,13 +42,13 @@
             balancer.step(random.model.now, &events, &mut actions);
             for action in &actions {
                 random.model.check(action);
-                if let Action::Timer { at, .. } = action {
+                if let Action::SetTimer { at, .. } = action {
                     timers.insert(*at);
                 }
             }
             // every request is answered within a period of its deadline, streams aside
             for (id, request) in &random.model.requests {
-                let due = request.valid_until + Span::from_millis(35);
+                let due = request.expires_at + Span::from_millis(35);
                 assert!(
                     request.answered || request.streams() || random.model.now <= due,
                     "seed {seed}: {id} lost"
--- a/tests/stalls.rs
+++ b/tests/stalls.rs
@@ -8,7 +8,7 @@
 use common::scripted_core::*;
 use stilespan::core::actor::{Core, CoreOptions};
 use stilespan::core::{DiscoveryCommand, EndpointsUpdate, Message, UpstreamCommand};
-use stilespan::interface::{Class, ListKind, ReplicaId, Settings, State};
+use stilespan::interface::{Class, EndpointListKind, EndpointState, ReplicaId, Settings};
 use tokio::sync::mpsc;
 use tokio::time::{Duration, sleep, timeout};
 
@@ -32,7 +32,7 @@
     let endpoints = vec![endpoint(1, "127.0.0.1:1", 0), endpoint(2, "127.0.0.1:2", 0)];
     messages
         .send(Message::EndpointsUpdated(EndpointsUpdate {
-            kind: ListKind::Complete,
+            kind: EndpointListKind::Complete,
             endpoints,
         }))
         .await
@@ -91,11 +91,11 @@
         "sent before the refresh"
     );
     let mut drained = endpoint(1, "127.0.0.1:1", 0);
-    drained.entry.state = State::Terminating;
+    drained.entry.state = EndpointState::Draining;
     let endpoints = vec![drained, endpoint(2, "127.0.0.1:2", 0)];
     messages
         .send(Message::EndpointsUpdated(EndpointsUpdate {
-            kind: ListKind::Complete,
+            kind: EndpointListKind::Complete,
             endpoints,
         }))
         .await
@@ -121,7 +121,7 @@
         );
         if answered {
             let failed = EndpointsUpdate {
-                kind: ListKind::Error,
+                kind: EndpointListKind::Error,
                 endpoints: Vec::new(),
             };
             messages
