--- a/tests/balancer/replicas.rs
+++ b/tests/balancer/replicas.rs
@@ -81,8 +81,8 @@
         );
         let actions = gateway.ask(2_000, arrival(1));
         assert!(sends(&actions).is_empty());
-        // and the request is answered at once: the list that has arrived names no replica that could
-        // take it
+        // and the request is answered at once: the list that has arrived names no replica that
+        // could take it
         assert!(refused(&actions, 1), "{actions:?}");
     }
     // a replica that a complete list does not name is removed too
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -1,5 +1,5 @@
 //! Many gateways, each a `Balancer` of its own with values for time; no replica is modelled,
-//! answers come after a fixed time.
+//! answers arrive after a fixed time.
 
 use stilespan::interface::*;
 
@@ -8,13 +8,15 @@
 /// Gateways in the fleets of these tests.
 pub const GATEWAYS: u32 = 100;
 
-/// Many gateways, and what they sent: when, from which, and where to.
+/// Many gateways, and what they sent: when, from which gateway, and to which replica.
 pub struct Fleet {
     pub gateways: Vec<Gateway>,
-    pub open: Vec<(Timestamp, usize, u32)>,
+    pub in_flight: Vec<(Timestamp, usize, u32)>,
     pub sent: Vec<(Timestamp, usize, u64)>,
-    pub ended: usize,
-    pub next: u32,
+    /// Requests that were rejected or have failed.
+    pub rejected: usize,
+    /// The id of the last request.
+    pub last_request: u32,
 }
 
 impl Fleet {
@@ -22,7 +24,7 @@
         Fleet::seeded(settings, entries, 0)
     }
 
-    /// With seeds from this one on, one for each gateway.
+    /// The same with seeds from this one on, one for each gateway.
     pub fn seeded(settings: &Settings, entries: &[ReplicaEntry], first: u64) -> Fleet {
         let gateway = |seed| {
             let balancer = stilespan::Balancer::new(settings.clone(), first + seed, START);
@@ -36,10 +38,10 @@
         let gateways = (0..u64::from(settings.router_count)).map(gateway).collect();
         Fleet {
             gateways,
-            open: Vec::new(),
+            in_flight: Vec::new(),
             sent: Vec::new(),
-            ended: 0,
-            next: 0,
+            rejected: 0,
+            last_request: 0,
         }
     }
 
@@ -51,30 +53,30 @@
             let now =
                 start + Span::from_micros(span.as_micros() * k as u64 / self.gateways.len() as u64);
             self.settle(now);
-            self.next += 1;
-            let ask = Arrival {
+            self.last_request += 1;
+            let request = Arrival {
                 expires_at: now + Span::from_secs(5),
-                ..arrival(self.next)
+                ..arrival(self.last_request)
             };
-            self.act(k, now, vec![Event::RequestReceived(ask)]);
+            self.step(k, now, vec![Event::RequestReceived(request)]);
         }
         let end = start + span;
         self.settle(end);
         for k in 0..self.gateways.len() {
-            self.act(k, end, vec![Event::TimerFired { timer_id: 0 }]);
+            self.step(k, end, vec![Event::TimerFired { timer_id: 0 }]);
         }
     }
 
     pub fn settle(&mut self, now: Timestamp) {
-        let (due, open) = self.open.iter().partition(|o| o.0 <= now);
-        self.open = open;
+        let (due, in_flight) = self.in_flight.iter().partition(|o| o.0 <= now);
+        self.in_flight = in_flight;
         for (at, k, id) in due {
             let events = vec![first(id, 0, 50_000), ended(id, 0, Outcome::Completed, true)];
-            self.act(k, at.max(self.gateways[k].now), events);
+            self.step(k, at.max(self.gateways[k].now), events);
         }
     }
 
-    pub fn act(&mut self, k: usize, now: Timestamp, events: Vec<Event>) {
+    pub fn step(&mut self, k: usize, now: Timestamp, events: Vec<Event>) {
         let after = now - self.gateways[k].now;
         for action in self.gateways[k].step(after.as_micros(), events) {
             match action {
@@ -82,28 +84,29 @@
                     request, replica, ..
                 } => {
                     self.sent.push((now, k, replica.0));
-                    self.open.push((now + Span::from_millis(250), k, request.0));
+                    self.in_flight
+                        .push((now + Span::from_millis(250), k, request.0));
                 }
-                Action::Reject { .. } | Action::Fail { .. } => self.ended += 1,
+                Action::Reject { .. } | Action::Fail { .. } => self.rejected += 1,
                 _ => {}
             }
         }
     }
 
-    /// The most sends to one replica within any window.
-    pub fn most(&self, window: Span, of: impl Fn(u64) -> bool) -> usize {
-        let mut most = 0;
+    /// The maximum of sends to one replica within any window.
+    pub fn max_sends(&self, window: Span, of: impl Fn(u64) -> bool) -> usize {
+        let mut max = 0;
         for &(at, _, to) in self.sent.iter().filter(|s| of(s.2)) {
             let within =
                 |s: &&(Timestamp, usize, u64)| s.2 == to && s.0 >= at && s.0 - at <= window;
-            most = most.max(self.sent.iter().filter(within).count());
+            max = max.max(self.sent.iter().filter(within).count());
         }
-        most
+        max
     }
 }
 
-/// Settings with the rule on cold replicas.
-pub fn rules() -> Settings {
+/// Settings with the rule for replicas in slow start.
+pub fn slow_start_settings() -> Settings {
     Settings {
         router_count: GATEWAYS,
         overload_window: Span::from_millis(1_500),
@@ -113,8 +116,8 @@
     }
 }
 
-/// Settings with load reports.
-pub fn probing() -> Settings {
+/// Settings with health checks and load reports.
+pub fn health_check_settings() -> Settings {
     let report = vec![
         LoadReportField::ErrorsPerSecond,
         LoadReportField::ServedPerSecond,
@@ -124,7 +127,7 @@
     Settings {
         health_checks: true,
         load_report_fields: report,
-        ..rules()
+        ..slow_start_settings()
     }
 }
 
--- a/tests/common/persistent.rs
+++ b/tests/common/persistent.rs
@@ -99,8 +99,8 @@
         Ok(())
     }
 
-    /// Sends and reads, also behind an answer that announces a close, until the connection is closed
-    /// and the program killed.
+    /// Sends and reads, also behind an answer that announces a close, until the connection is
+    /// closed and the program killed.
     pub async fn run(
         mut self,
         deadline: Duration,
--- a/tests/common/rule_model.rs
+++ b/tests/common/rule_model.rs
@@ -1,5 +1,6 @@
 //! A model of the rules that every action of the decision module keeps, simple enough to check by
-//! reading. It knows what was reported to the module and what the module did, and models no replica.
+//! reading. It knows what was reported to the module and what the module did, and models no
+//! replica.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -100,7 +100,8 @@
 }
 
 /// A model server disappears unnoticed and a new one starts at its address: requests for the old
-/// one must not reach the new one. An old entry that is listed again doesn't close the new upstream.
+/// one must not reach the new one. An old entry that is listed again doesn't close the new
+/// upstream.
 #[rstest]
 #[case::another_address("127.0.0.1:2", 7, [false, false])]
 #[case::the_newer_stays("127.0.0.1:1", 7, [true, false])]
--- a/tests/core_races/outcomes.rs
+++ b/tests/core_races/outcomes.rs
@@ -38,8 +38,8 @@
     );
 }
 
-/// An attempt without a connection by its deadline has never run: the client may retry, also where a
-/// second run would do harm.
+/// An attempt without a connection by its deadline has never run: the client may retry, also where
+/// a second run would do harm.
 #[rstest]
 #[case::not_started(false)]
 #[case::started(true)]
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -22,9 +22,9 @@
     assert_eq!(health_status(&router.platform).await, 503);
 }
 
-/// The watch continues after a failed call and a drain reaches the decision module: where the module
-/// polls, because it polls again; where discovery pushes, the module orders no watch and the agent
-/// beside the router is watched all the same.
+/// The watch continues after a failed call and a drain reaches the decision module: where the
+/// module polls, because it polls again; where discovery pushes, the module orders no watch and the
+/// agent beside the router is watched all the same.
 #[rstest]
 #[case::polled(true)]
 #[case::pushed(false)]
--- a/tests/faults/clients.rs
+++ b/tests/faults/clients.rs
@@ -1,5 +1,5 @@
-//! Clients that reuse connections, write in pieces or several requests at once, stay idle until they
-//! are closed, and disconnect. Each request that they write completely is recorded.
+//! Clients that reuse connections, write in pieces or several requests at once, stay idle until
+//! they are closed, and disconnect. Each request that they write completely is recorded.
 
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
--- a/tests/faults/deliveries.rs
+++ b/tests/faults/deliveries.rs
@@ -9,8 +9,8 @@
 use super::http::{Connection, Message, Progress};
 use super::record::{Delivery, DeliveryEnd};
 
-/// A client waits for so long beyond its timeout before its request counts as timed out: longer than
-/// any stop of a process.
+/// A client waits for so long beyond its timeout before its request counts as timed out: longer
+/// than any stop of a process.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(2500);
 /// How long a closed connection is watched for the reset that unread bytes cause.
 const RESET_WATCH: Duration = Duration::from_secs(7);
--- a/tests/faults/main.rs
+++ b/tests/faults/main.rs
@@ -1,6 +1,6 @@
 //! Fault tests: every accepted request ends once, whatever happens to the routers' processes, to
-//! model servers and to other clients. The schedule is drawn from a seed; the checker reads what the
-//! peers recorded.
+//! model servers and to other clients. The schedule is drawn from a seed; the checker reads what
+//! the peers recorded.
 
 mod check;
 mod check_tests;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,6 +1,5 @@
-//! What many gateways do together, each on its own: the sums that a rule or a peer sees. Every
-//! gateway is a `Balancer` of its own with values for time; no replica is modelled, answers come
-//! after a fixed time.
+//! What many gateways do together, each of which decides on its own. Every gateway is a `Balancer`
+//! with values for time; no replica is modelled, answers arrive after a fixed time.
 
 mod common;
 
@@ -9,14 +8,14 @@
 use rstest::rstest;
 use stilespan::interface::*;
 
-/// A gateway that has sent nothing meets a replica that others have found slow, one that answers no
-/// probe and one that can't be reached: it sends to the others alone, soon, and asks for no more
-/// than three loads a request.
+/// A gateway that has sent nothing, with a slow replica, one that answers no health check and one
+/// that can't be reached: it sends to the others only, soon, and requests no more than three loads
+/// for a request.
 #[test]
-fn a_gateway_that_knows_nothing_sends_where_loads_tell_it_to() {
+fn new_gateway_sends_by_load_reports() {
     let mut to = Vec::new();
     for seed in 0..40 {
-        let balancer = stilespan::Balancer::new(probing(), seed, START);
+        let balancer = stilespan::Balancer::new(health_check_settings(), seed, START);
         let mut gateway = Gateway {
             balancer,
             now: START,
@@ -30,9 +29,9 @@
         );
         for id in 1..=4 {
             let mut actions = gateway.ask(100_000, arrival(id));
-            let mut asked = 0;
+            let mut checks = 0;
             for _ in 0..100 {
-                asked += probes(&actions).len();
+                checks += probes(&actions).len();
                 let answers = probes(&actions).into_iter().filter_map(|k| match k {
                     0 => Some(told(
                         k,
@@ -51,7 +50,7 @@
                 to.extend(sends(&actions).iter().map(|s| s.1));
                 actions = gateway.step(2_000, events);
             }
-            assert!(asked <= 6, "{asked} probes for one request");
+            assert!(checks <= 6, "{checks} health checks for one request");
             gateway.step(
                 2_000,
                 vec![first(id, 0, 50_000), ended(id, 0, Outcome::Completed, true)],
@@ -62,16 +61,15 @@
     let slow = to.iter().filter(|&&k| k < 3).count();
     assert!(
         slow <= 8,
-        "{slow} of 160 sends to replicas that are slow or gone"
+        "{slow} of 160 sends to replicas that are slow or unreachable"
     );
 }
 
-/// Sends of one request, of a gateway that knows nothing, to replicas below `silent`, which answer
-/// no probe.
+/// Sends of one request of a new gateway to replicas below `silent`, which answer no health check.
 fn sent_to_silent(silent: u64, replicas: u64) -> usize {
     let mut to_silent = 0;
     for seed in 0..200 {
-        let balancer = stilespan::Balancer::new(probing(), seed, START);
+        let balancer = stilespan::Balancer::new(health_check_settings(), seed, START);
         let mut gateway = Gateway {
             balancer,
             now: START,
@@ -96,25 +94,26 @@
     to_silent
 }
 
-/// A lost zone, silent: a request goes there only where neither three nor three more have answered.
+/// An unreachable zone: a request is sent there only where neither three nor three more replicas
+/// have answered.
 #[test]
-fn a_request_keeps_away_from_replicas_that_answer_no_probe() {
+fn silent_replicas_get_few_requests() {
     // one in three silent: never six of them
     assert_eq!(sent_to_silent(4, 12), 0);
     // three in four: all three of a draw in 38 of 100, both times in 15
-    let most = sent_to_silent(9, 12);
+    let sent = sent_to_silent(9, 12);
     assert!(
-        most <= 50,
-        "{most} of 200 requests sent to a silent replica"
+        sent <= 50,
+        "{sent} of 200 requests sent to a silent replica"
     );
 }
 
-/// A replica whose probe failed is left alone for a while: no probe for each request that comes
-/// meanwhile.
+/// A replica whose health check failed gets no further one for each request that arrives soon after
+/// it.
 #[test]
-fn a_failed_probe_puts_a_replica_off() {
+fn failed_health_check_is_not_repeated() {
     let mut gateway = Gateway {
-        balancer: stilespan::Balancer::new(probing(), 1, START),
+        balancer: stilespan::Balancer::new(health_check_settings(), 1, START),
         now: START,
     };
     gateway.step(
@@ -125,10 +124,10 @@
         )],
     );
     assert_eq!(probes(&gateway.ask(1_000, arrival(1))).len(), 3);
-    let good = Some(load_report(0.0, 4.0, 0.1));
+    let report = Some(load_report(0.0, 4.0, 0.1));
     let events = vec![
-        told(0, Outcome::Completed, good),
-        told(1, Outcome::Completed, good),
+        told(0, Outcome::Completed, report),
+        told(1, Outcome::Completed, report),
         told(2, Outcome::ConnectFailed, None),
     ];
     gateway.step(2_000, events);
@@ -138,14 +137,14 @@
     }
 }
 
-/// A beginning that all sessions share draws nobody's requests to one replica: all gateways would
-/// look there.
+/// A prefix that all sessions share attracts no requests to a single replica: all gateways would
+/// choose it.
 #[test]
-fn a_shared_beginning_does_not_gather_all_gateways_at_one_replica() {
+fn shared_prefix_spreads_over_replicas() {
     let entries: Vec<ReplicaEntry> = (0..40).map(entry).collect();
     let mut to = [0; 40];
     for seed in 0..400 {
-        let balancer = stilespan::Balancer::new(rules(), seed, START);
+        let balancer = stilespan::Balancer::new(slow_start_settings(), seed, START);
         let mut gateway = Gateway {
             balancer,
             now: START,
@@ -164,15 +163,15 @@
     assert!(to.iter().all(|&n| n <= 25), "10 each would be even: {to:?}");
 }
 
-/// Work that can wait leaves a zone whose replicas are slow as soon as work that can't: it weighs
-/// as much there.
+/// A class with a long objective leaves a zone whose replicas are slow as soon as one with a short
+/// objective: its work is the same there.
 #[rstest]
-#[case::short_aim(0)]
-#[case::long_aim(1)]
-fn either_class_crosses_from_a_full_zone_at_the_same_gain(#[case] class: u32) {
+#[case::short_objective(0)]
+#[case::long_objective(1)]
+fn both_classes_leave_a_slow_zone(#[case] class: u32) {
     let mut set = Settings {
         cross_zone_cost: 0.1,
-        ..probing()
+        ..health_check_settings()
     };
     set.classes[0].first_token_objective = Span::from_millis(400);
     set.classes[0].first_token_objective_per_1000_prompt_tokens = Span::from_millis(60);
@@ -219,14 +218,14 @@
     assert_eq!(sent, [1]);
 }
 
-/// Discovery fails all gateways' calls at the same moment: they come back spread, at first and
-/// after many failures, and each asks again soon enough for what counts as told 6 s after discovery
-/// can be reached (`policy::list_poll_timer`).
+/// Discovery fails all gateways' calls at the same moment: their next calls are spread, at first
+/// and after many failures, and each polls soon enough for the platform's limit of 6 s after
+/// discovery can be reached again (`policy::list_poll_timer`).
 #[test]
-fn calls_at_a_failing_discovery_are_spread_and_go_on() {
+fn polls_of_failing_discovery_are_spread() {
     let set = Settings {
         endpoints_on_request: true,
-        ..rules()
+        ..slow_start_settings()
     };
     let mut gateways: Vec<Gateway> = (0..u64::from(GATEWAYS))
         .map(|seed| Gateway {
@@ -240,24 +239,21 @@
     let mut calls = [0; 200];
     for tick in 0..2_000 {
         for gateway in &mut gateways {
-            let watches = |a: &[Action]| a.iter().filter(|a| **a == Action::WatchEndpoints).count();
-            let asked = watches(&gateway.step(10_000, vec![Event::TimerFired { timer_id: 0 }]));
-            calls[tick / 10] += asked;
-            if asked > 0 {
+            let polls = |a: &[Action]| a.iter().filter(|a| **a == Action::WatchEndpoints).count();
+            let polled = polls(&gateway.step(10_000, vec![Event::TimerFired { timer_id: 0 }]));
+            calls[tick / 10] += polled;
+            if polled > 0 {
                 gateway.step(0, failed());
             }
         }
     }
-    let most = calls.iter().max().unwrap();
-    assert!(*most <= 40, "{most} calls within 100 ms");
+    let max = calls.iter().max().unwrap();
+    assert!(*max <= 40, "{max} calls within 100 ms");
     let late: usize = calls[100..].iter().sum();
     assert!(
         (700..=1_000).contains(&late),
         "{late} calls in the last 10 s"
     );
-    let most = calls[100..].iter().max().unwrap();
-    assert!(
-        *most <= 24,
-        "{most} calls within 100 ms after many failures"
-    );
+    let max = calls[100..].iter().max().unwrap();
+    assert!(*max <= 24, "{max} calls within 100 ms after many failures");
 }
--- a/tests/fleet_scaling.rs
+++ b/tests/fleet_scaling.rs
@@ -1,6 +1,6 @@
-//! What the balancer of one gateway needs as the fleet grows to sixteen times its size and beyond,
-//! its own traffic being the same: allocations, which are the same on every run, stand for its work
-//! and memory.
+//! Work and memory of one gateway's balancer as the fleet grows to sixteen times its size and
+//! beyond under the same traffic. Both are measured as allocations, which are the same on every
+//! run.
 
 mod common;
 
@@ -13,17 +13,17 @@
 #[global_allocator]
 static COUNTED: CountingAllocator = CountingAllocator;
 
-/// The usual number of servers, sixteen times as many, and the most there may be.
+/// The usual number of servers, sixteen times as many, and the maximum.
 const USUAL: u64 = 100;
 const LARGE: [u64; 2] = [1_600, 3_200];
-/// Bytes that the balancer may hold for a server, and may allocate for a server at a change to the
-/// list.
-const SHARE: isize = 1_000;
-const CHANGE: usize = 500;
-/// Requests in one measure.
+/// Bytes that the balancer may hold for a server.
+const MAX_LIVE_PER_SERVER: isize = 1_000;
+/// Bytes that it may allocate for a server at a change to the list.
+const MAX_CHANGE_PER_SERVER: usize = 500;
+/// Requests in one measurement.
 const REQUESTS: u32 = 2_000;
 
-/// A gateway that has the whole list, and what it keeps of it.
+/// A gateway with the complete list, and the bytes that were live before it was made.
 struct Measured {
     gateway: Gateway,
     servers: u64,
@@ -34,7 +34,7 @@
 impl Measured {
     fn new(servers: u64) -> Measured {
         let before = live_bytes();
-        let balancer = stilespan::Balancer::new(rules(), 1, START);
+        let balancer = stilespan::Balancer::new(slow_start_settings(), 1, START);
         let mut gateway = Gateway {
             balancer,
             now: START,
@@ -64,29 +64,26 @@
         let (before, mut sent) = (allocated_bytes(), 0);
         for _ in 0..REQUESTS {
             self.requests += 1;
-            let ask = Arrival {
+            let request = Arrival {
                 session: Some(u64::from(self.requests % 50)),
                 ..arrival(self.requests)
             };
-            for (request, _) in sends(&self.gateway.ask(10_000, ask)) {
+            for (id, _) in sends(&self.gateway.ask(10_000, request)) {
                 sent += 1;
-                let answer = vec![
-                    first(request, 0, 50_000),
-                    ended(request, 0, Outcome::Completed, true),
-                ];
+                let answer = vec![first(id, 0, 50_000), ended(id, 0, Outcome::Completed, true)];
                 self.gateway.step(1_000, answer);
             }
         }
         ((allocated_bytes() - before) / REQUESTS as usize, sent)
     }
 
-    /// Replaces every server by a new one, a twentieth at a time; the most bytes allocated for one
-    /// change.
+    /// Replaces every server by a new one, a twentieth at a time; the maximum of bytes allocated
+    /// for one change.
     fn replace(&mut self, generation: u64) -> usize {
-        let (id, mut most) = (|n: u64, of: u64| ReplicaId(of * 1_000_000 + n), 0);
+        let (id, mut max) = (|n: u64, of: u64| ReplicaId(of * 1_000_000 + n), 0);
         let all: Vec<u64> = (0..self.servers).collect();
         for part in all.chunks(self.servers as usize / 20) {
-            let gone = |&n: &u64| ReplicaEntry {
+            let removed = |&n: &u64| ReplicaEntry {
                 replica: id(n, generation - 1),
                 state: EndpointState::Removed,
                 ..entry(n)
@@ -95,20 +92,24 @@
                 replica: id(n, generation),
                 ..entry(n)
             };
-            let entries = part.iter().map(gone).chain(part.iter().map(new)).collect();
+            let entries = part
+                .iter()
+                .map(removed)
+                .chain(part.iter().map(new))
+                .collect();
             let before = allocated_bytes();
             self.gateway
                 .step(300_000, vec![list(EndpointListKind::Partial, entries)]);
-            most = most.max(allocated_bytes() - before);
+            max = max.max(allocated_bytes() - before);
         }
-        most
+        max
     }
 }
 
-/// The page allows 1.4 times the processor time: a request's allocations may grow by no more, and
-/// each is sent.
+/// The processor time may grow 1.4 times: a request's allocations may grow by no more, and each is
+/// sent.
 #[rstest]
-fn a_request_allocates_as_much_in_a_large_fleet(#[values(LARGE[0], LARGE[1])] servers: u64) {
+fn allocations_hardly_grow_with_the_fleet(#[values(LARGE[0], LARGE[1])] servers: u64) {
     let (usual, _) = Measured::new(USUAL).serve();
     let (large, sent) = Measured::new(servers).serve();
     assert!(
@@ -118,10 +119,10 @@
     assert_eq!(sent, REQUESTS);
 }
 
-/// The page allows 1.5 times the memory and 4 KB a server for the whole process: the balancer has a
-/// quarter of that, also once every server has been replaced twice.
+/// The memory of the process may grow 1.5 times and by 4 KB a server: the balancer has a quarter of
+/// that, also once every server has been replaced twice.
 #[rstest]
-fn memory_grows_by_little_a_server(#[values(LARGE[0], LARGE[1])] servers: u64) {
+fn memory_grows_little_with_the_fleet(#[values(LARGE[0], LARGE[1])] servers: u64) {
     let measure = |servers| {
         let mut measured = Measured::new(servers);
         measured.serve();
@@ -136,16 +137,17 @@
         served.max(measured.live())
     };
     let (usual, large) = (measure(USUAL), measure(servers));
-    let most = 3 * usual / 2 + SHARE * servers as isize;
-    assert!(large <= most, "{large} bytes, {usual} at the usual size");
+    let limit = 3 * usual / 2 + MAX_LIVE_PER_SERVER * servers as isize;
+    assert!(large <= limit, "{large} bytes, {usual} at the usual size");
 }
 
 /// A change to the list allocates in proportion to the fleet, and no more.
 #[rstest]
-fn a_change_to_the_list_allocates_by_the_size_of_the_fleet(
-    #[values(USUAL, LARGE[0], LARGE[1])] servers: u64,
-) {
+fn list_change_allocates_in_proportion(#[values(USUAL, LARGE[0], LARGE[1])] servers: u64) {
     let mut measured = Measured::new(servers);
-    let most = measured.replace(1);
-    assert!(most <= CHANGE * servers as usize, "{most} bytes");
+    let max = measured.replace(1);
+    assert!(
+        max <= MAX_CHANGE_PER_SERVER * servers as usize,
+        "{max} bytes"
+    );
 }
--- a/tests/invalid_settings.rs
+++ b/tests/invalid_settings.rs
@@ -1,6 +1,6 @@
-//! Settings of another customer: any figure may be zero, below it, huge, of another kind or
-//! missing. The configuration is refused with its file's name, or the router runs by it; nothing
-//! panics (overflow is checked in tests).
+//! Unusual settings: any value may be zero, negative, huge, of another type or missing. The
+//! configuration is rejected with its file's name, or the router runs with it; nothing panics
+//! (overflow is checked in tests).
 
 mod common;
 
@@ -14,7 +14,7 @@
 use stilespan::config::Config;
 use stilespan::interface::{Arrival, EndpointListKind, Event, Outcome, Span, Timestamp};
 
-/// The places of all values in a JSON value that hold no others.
+/// The JSON pointers of all values that contain no others.
 fn leaves(value: &Value, at: String, all: &mut Vec<String>) {
     match value {
         Value::Object(map) => map
@@ -29,7 +29,7 @@
     }
 }
 
-/// Serves a few requests by the settings, with the module alone.
+/// Serves a few requests with these settings, with the decision module alone.
 fn serve(config: &Config) {
     let start = Timestamp::from_secs(1_700_000_000);
     let mut balancer = Balancer::new(config.settings.clone(), 7, start);
@@ -80,25 +80,25 @@
 
 #[rstest]
 #[case::zero(json!(0))]
-#[case::below_zero(json!(-1))]
+#[case::negative(json!(-1))]
 #[case::huge(json!(1e300))]
 #[case::very_large(json!(u64::MAX))]
 #[case::tiny(json!(1e-300))]
 #[case::text(json!("1"))]
-#[case::nothing(Value::Null)]
+#[case::null(Value::Null)]
 #[case::list(json!([]))]
-#[case::truth(json!(true))]
-fn no_setting_makes_the_router_panic(#[case] odd: Value) {
+#[case::boolean(json!(true))]
+fn unusual_value_causes_no_panic(#[case] value: Value) {
     let text = config_text(&[("s-a", "127.0.0.1:1", "SERVING")], Some("127.0.0.1:2"));
-    let whole: Value = serde_json::from_str(&text).unwrap();
+    let complete: Value = serde_json::from_str(&text).unwrap();
     let mut all = Vec::new();
-    leaves(&whole, String::new(), &mut all);
+    leaves(&complete, String::new(), &mut all);
     assert!(all.len() > 40);
     let mut served = 0;
     for at in all {
-        let mut odd_one = whole.clone();
-        *odd_one.pointer_mut(&at).unwrap() = odd.clone();
-        match Config::parse(Path::new("odd.json"), &odd_one.to_string()) {
+        let mut changed = complete.clone();
+        *changed.pointer_mut(&at).unwrap() = value.clone();
+        match Config::parse(Path::new("odd.json"), &changed.to_string()) {
             Ok(config) => {
                 served += 1;
                 serve(&config);
@@ -109,24 +109,24 @@
     assert!(served > 0);
 }
 
-/// Every part of the settings may be missing.
+/// Any part of the settings may be missing.
 #[test]
-fn no_missing_setting_makes_the_router_panic() {
+fn missing_setting_causes_no_panic() {
     let text = config_text(&[("s-a", "127.0.0.1:1", "SERVING")], Some("127.0.0.1:2"));
-    let whole: Value = serde_json::from_str(&text).unwrap();
+    let complete: Value = serde_json::from_str(&text).unwrap();
     let mut all = Vec::new();
-    leaves(&whole, String::new(), &mut all);
+    leaves(&complete, String::new(), &mut all);
     for at in all {
         // the value itself, and all that holds it
         let mut path = at.as_str();
         while let Some((above, key)) = path.rsplit_once('/') {
-            let mut odd_one = whole.clone();
-            match odd_one.pointer_mut(above) {
+            let mut changed = complete.clone();
+            match changed.pointer_mut(above) {
                 Some(Value::Object(map)) => drop(map.remove(key)),
                 Some(Value::Array(list)) => drop(list.remove(key.parse().unwrap())),
                 _ => {}
             }
-            if let Ok(config) = Config::parse(Path::new("odd.json"), &odd_one.to_string()) {
+            if let Ok(config) = Config::parse(Path::new("odd.json"), &changed.to_string()) {
                 serve(&config);
             }
             path = above;
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -140,9 +140,9 @@
     assert_eq!(status, Some(0), "{rest}");
 }
 
-/// SIGHUP under load: an invalid file changes nothing, a valid one moves the watch to the new address
-/// and fetches the complete list, though a call is in flight at the old one. Requests in flight go
-/// on.
+/// SIGHUP under load: an invalid file changes nothing, a valid one moves the watch to the new
+/// address and fetches the complete list, though a call is in flight at the old one. Requests in
+/// flight go on.
 #[tokio::test]
 async fn sighup_applies_only_valid_configuration() {
     let slow = [vec![Step::Gate, Step::Release], answer("a")].concat();
--- a/tests/replica_weights.rs
+++ b/tests/replica_weights.rs
@@ -1,4 +1,4 @@
-//! What sizes and kinds in the list do to where many gateways send.
+//! Weights of replicas in the endpoint list, and how many gateways distribute requests by them.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use stilespan::interface::*;
 
 /// Two thirds of the replicas are small and have a tenth of the capacity. A hundred gateways that
-/// know nothing but the list give every replica about what its size is due: each alone would send
-/// most of its few requests to small ones.
+/// know only the list send every replica about its part by size, though each alone would send most
+/// of its few requests to small ones.
 #[test]
 fn new_gateways_send_by_size() {
     let size = |k: u64| if k < 40 { 1.0 } else { 18.0 };
@@ -37,23 +37,23 @@
     );
 }
 
-/// Where load reports correct it, a class with time to spare leaves the large replicas to one that
+/// Where load reports show it, a class with a long objective leaves the large replicas to one that
 /// needs them.
 #[test]
 fn urgent_requests_get_large_replicas() {
-    let pressed = Class {
+    let urgent = Class {
         first_token_objective: Span::from_millis(400),
-        ..probing().classes[0].clone()
+        ..health_check_settings().classes[0].clone()
     };
-    let spare = Class {
+    let relaxed = Class {
         first_token_objective: Span::from_secs(60),
         deadline: Span::from_secs(90),
-        ..pressed.clone()
+        ..urgent.clone()
     };
     let set = Settings {
-        classes: vec![pressed, spare],
+        classes: vec![urgent, relaxed],
         router_count: GATEWAYS,
-        ..probing()
+        ..health_check_settings()
     };
     let entries = |k| ReplicaEntry {
         weight: if k < 20 { 4.0 } else { 8.0 },
--- a/tests/router/malformed_responses.rs
+++ b/tests/router/malformed_responses.rs
@@ -61,8 +61,8 @@
     );
 }
 
-/// A valid stream with bytes before or behind it is relayed; behind a second response its connection
-/// is not reused.
+/// A valid stream with bytes before or behind it is relayed; behind a second response its
+/// connection is not reused.
 #[rstest]
 #[case::interim(
     "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n",
--- a/tests/session_affinity.rs
+++ b/tests/session_affinity.rs
@@ -1,5 +1,6 @@
-//! Sessions stay where their prompts are kept: what is learned of reading, what a late answer of a
-//! busy server does, and what is let in anew when a session would have to move.
+//! Sessions stay where their prompts are cached: how the prefill model learns, what a late answer
+//! of a busy server changes, and which requests are admitted when their session would have to
+//! migrate.
 
 mod common;
 
@@ -8,13 +9,14 @@
 use common::*;
 use stilespan::interface::*;
 
-/// Tokens that open all sessions, and what reading a token costs.
-const OPENING: u32 = 8_000;
-const READ_US: u64 = 30;
-/// Turns after which reading is known.
+/// Tokens of the prefix that all sessions share.
+const SHARED_PREFIX: u32 = 8_000;
+/// Prefill time of a token, in microseconds.
+const PREFILL_US: u64 = 30;
+/// Turns after which the prefill model has converged.
 const TURNS: u32 = 16;
 
-/// A turn of a session; of none, and with no opening that others share, for 0.
+/// A turn of a session; for 0 a request without a session and a shared prefix.
 fn turn(request: u32, session: u64, prompt: u32) -> Arrival {
     if session == 0 {
         return Arrival {
@@ -25,23 +27,23 @@
     Arrival {
         session: Some(session),
         prefix: Some(7),
-        shared_prefix_tokens: OPENING,
+        shared_prefix_tokens: SHARED_PREFIX,
         prompt_tokens: prompt,
         ..arrival(request)
     }
 }
 
-/// A gateway and servers that keep what they have read, unless `forget` has them lose it at once.
-struct Site {
+/// A gateway and servers that cache prompts, unless `forget` has them evict each at once.
+struct CachingFleet {
     gateway: Gateway,
     cached_tokens: HashMap<(u64, u64), u32>,
     forget: bool,
     last: u32,
 }
 
-impl Site {
-    fn new(servers: u64) -> Site {
-        Site {
+impl CachingFleet {
+    fn new(servers: u64) -> CachingFleet {
+        CachingFleet {
             gateway: Gateway::new(settings(), servers),
             cached_tokens: HashMap::new(),
             forget: false,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// What became of a turn, within its aim: sent to a server, refused, or neither.
+    /// What happened to a turn within its objective: sent to a server, rejected, or neither.
     fn ask(&mut self, session: u64, prompt: u32) -> (Option<u64>, bool) {
         self.last += 1;
         let id = self.last;
@@ -68,8 +70,8 @@
         (None, false)
     }
 
-    /// A turn answered whole: its server.
-    fn play(&mut self, session: u64, prompt: u32) -> Option<u64> {
+    /// A turn with a complete answer: its server.
+    fn complete_turn(&mut self, session: u64, prompt: u32) -> Option<u64> {
         let (to, _) = self.ask(session, prompt);
         let (to, id) = (to?, self.last);
         let cached_tokens = self
@@ -81,7 +83,7 @@
         if !self.forget {
             self.cached_tokens.insert((to, session), prompt);
         }
-        let elapsed = 20_000 + READ_US * u64::from(prompt - cached_tokens);
+        let elapsed = 20_000 + PREFILL_US * u64::from(prompt - cached_tokens);
         self.gateway.step(elapsed, vec![first(id, 0, elapsed)]);
         self.end(Outcome::Completed, 100_000, Some(cached_tokens));
         Some(to)
@@ -102,11 +104,11 @@
     }
 
     /// Several sessions of some turns each; the server of the first one's last turn.
-    fn met(&mut self, sessions: u64) -> Option<u64> {
+    fn warm_up(&mut self, sessions: u64) -> Option<u64> {
         let mut at = None;
         for n in 0..20 {
             for session in 1..=sessions {
-                let to = self.play(session, 9_000 + 300 * n);
+                let to = self.complete_turn(session, 9_000 + 300 * n);
                 at = if session == 1 { to } else { at };
             }
         }
@@ -115,51 +117,58 @@
 }
 
 /// A busy server answers one turn too late, and has answered others before: the session's next turn
-/// still goes there. What the late one had waited, twice over, would put the server off beyond the
-/// next turn's aim.
+/// is still sent there. A delay of twice the late one's would exclude the server beyond the next
+/// turn's objective.
 #[test]
 fn late_answer_moves_no_session() {
-    let mut site = Site::new(4);
-    let at = site.met(3);
+    let mut fleet = CachingFleet::new(4);
+    let at = fleet.warm_up(3);
     assert!(at.is_some());
-    assert_eq!(site.ask(1, 15_000), (at, false));
-    site.end(Outcome::Timeout, 1_000_000, None);
-    // its client comes again within its patience
-    assert_eq!(site.ask(1, 15_000), (at, false));
+    assert_eq!(fleet.ask(1, 15_000), (at, false));
+    fleet.end(Outcome::Timeout, 1_000_000, None);
+    // its client retries within its timeout
+    assert_eq!(fleet.ask(1, 15_000), (at, false));
 }
 
-/// Reading is learned against what was read, not what was believed kept. A server whose copies go
-/// void reads whole prompts where next to nothing was thought unread: what takes 0.6 s to read is
-/// known to be in time, and what takes 1.8 s is answered at once. Learned against beliefs, a few
-/// tokens would seem to take long, and all would be refused.
+/// The prefill model is fitted to the tokens that were not cached, not to the estimate of them. A
+/// server whose cache is evicted processes complete prompts where hardly any token was expected to
+/// be uncached: a prefill of 0.6 s is known to be in time, and one of 1.8 s is rejected at once.
+/// Fitted to the estimate, a few tokens would seem to take long, and every request would be
+/// rejected.
 #[test]
 fn prefill_is_fitted_to_uncached_tokens() {
-    let mut site = Site::new(1);
-    site.forget = true;
+    let mut fleet = CachingFleet::new(1);
+    fleet.forget = true;
     for n in 0..TURNS {
-        assert!(site.play(1, 10_000 + 500 * (n % 8)).is_some(), "turn {n}");
+        assert!(
+            fleet.complete_turn(1, 10_000 + 500 * (n % 8)).is_some(),
+            "turn {n}"
+        );
     }
-    assert_eq!(site.ask(0, 60_000), (None, true));
-    assert_eq!(site.ask(0, 20_000).0, Some(0));
+    assert_eq!(fleet.ask(0, 60_000), (None, true));
+    assert_eq!(fleet.ask(0, 20_000).0, Some(0));
 }
 
-/// A session whose server is late with its answers is not read anew elsewhere, where that takes a
-/// large part of its time and all others are worth more for their work: it is answered at once. One
-/// whose server is gone is served elsewhere.
+/// A session whose server answers late does not migrate where the prefill takes a large part of its
+/// time and all other requests have more weight for their work: it is rejected at once. One whose
+/// server is draining is served elsewhere.
 #[test]
 fn expensive_migration_is_rejected_while_cached() {
-    let mut site = Site::new(3);
-    let at = site.met(6).expect("a server");
-    // a turn there gets no first token, long after it was to come: nothing further goes there
-    assert_eq!(site.ask(1, 15_000).0, Some(at));
-    site.gateway
+    let mut fleet = CachingFleet::new(3);
+    let at = fleet.warm_up(6).expect("a server");
+    // a turn there gets no first token, long after it was expected: no further request is sent
+    // there
+    assert_eq!(fleet.ask(1, 15_000).0, Some(at));
+    fleet
+        .gateway
         .step(500_000, vec![Event::TimerFired { timer_id: 0 }]);
-    assert_eq!(site.ask(1, 15_000), (None, true));
-    let gone = ReplicaEntry {
+    assert_eq!(fleet.ask(1, 15_000), (None, true));
+    let draining = ReplicaEntry {
         state: EndpointState::Draining,
         ..entry(at)
     };
-    site.gateway
-        .step(1_000, vec![list(EndpointListKind::Partial, vec![gone])]);
-    assert!(site.ask(1, 15_000).0.is_some_and(|to| to != at));
+    fleet
+        .gateway
+        .step(1_000, vec![list(EndpointListKind::Partial, vec![draining])]);
+    assert!(fleet.ask(1, 15_000).0.is_some_and(|to| to != at));
 }
--- a/tests/shutdown_deadline.rs
+++ b/tests/shutdown_deadline.rs
@@ -72,8 +72,8 @@
     value.to_string()
 }
 
-/// Answers at once, after some time, never, and with a stream that lasts longer than the program may
-/// run; from `LONG_STREAMS_AFTER` the shutdown signal on, only with such streams.
+/// Answers at once, after some time, never, and with a stream that lasts longer than the program
+/// may run; from `LONG_STREAMS_AFTER` the shutdown signal on, only with such streams.
 fn script(n: usize, term: Option<Instant>) -> Vec<Step> {
     let part = |text: &str| Step::Write(chunk(&event(text)));
     let begun = Step::Write(STREAM.into());
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,5 @@
-//! What many gateways do together to cold replicas, each on its own: the sums that the rule sees.
+//! Slow start with many gateways, each of which decides on its own: what warming replicas get from
+//! all of them together.
 
 mod common;
 
@@ -7,51 +8,51 @@
 use rstest::rstest;
 use stilespan::interface::*;
 
-fn cold(replica: u64) -> ReplicaEntry {
+fn warming(replica: u64) -> ReplicaEntry {
     ReplicaEntry {
         started_at: START,
         ..entry(replica)
     }
 }
 
-/// A hundred gateways with a request a second each: a cold replica gets its part of them at once,
-/// though that is far less than one request of any single gateway's, and though no gateway has sent
-/// anything before. It takes in turn what the part allows and no more: three tenths of a warm one's
+/// A hundred gateways with a request a second each: a warming replica gets its part of them at
+/// once, though that is far less than one request of any single gateway, and though no gateway has
+/// sent anything before. It gets no more than the rule allows: three tenths of a warm one's part,
 /// and twice the margin.
 #[test]
-fn the_parts_of_many_gateways_reach_a_cold_replica_and_keep_its_rule() {
+fn warming_replica_gets_its_part() {
     let mut entries: Vec<ReplicaEntry> = (0..30).map(entry).collect();
-    entries.extend((30..40).map(cold));
-    let mut fleet = Fleet::new(&rules(), &entries);
+    entries.extend((30..40).map(warming));
+    let mut fleet = Fleet::new(&slow_start_settings(), &entries);
     for _ in 0..3 {
         fleet.round(Span::from_secs(1));
     }
-    // 100 requests a second over 40 replicas: a warm one's part is 2.5 a second, all of it within
-    // its means
-    let to_cold = fleet.sent.iter().filter(|s| s.2 >= 30).count();
+    // 100 requests a second over 40 replicas: a warm one's part is 2.5 a second, which is within
+    // its capacity
+    let to_warming = fleet.sent.iter().filter(|s| s.2 >= 30).count();
     assert!(
-        to_cold >= 20,
-        "{to_cold} of {} sends to ten cold replicas in 3 s",
+        to_warming >= 20,
+        "{to_warming} of {} sends to ten warming replicas in 3 s",
         fleet.sent.len()
     );
     let rule = 4.0 * 0.5 * 2.5 * 1.5;
-    let most = fleet.most(Span::from_millis(1_500), |to| to >= 30);
+    let max = fleet.max_sends(Span::from_millis(1_500), |to| to >= 30);
     assert!(
-        (most as f64) <= rule,
-        "{most} sends to one cold replica in its window, {rule} allowed"
+        (max as f64) <= rule,
+        "{max} sends to one warming replica in its window, {rule} allowed"
     );
 }
 
-/// While one process of a gateway replaces another both are told that there is one gateway, and
-/// share its clients: a cold replica gets no more from the two than from the one, and its rule
-/// holds for their sum.
+/// While one process of a gateway replaces another, both are configured with one gateway and share
+/// its clients: a warming replica gets no more from the two than from the one, and its rule holds
+/// for their sum.
 #[test]
-fn two_processes_of_one_gateway_send_a_cold_replica_no_more_than_one() {
+fn two_processes_send_as_one_gateway() {
     let mut entries: Vec<ReplicaEntry> = (0..30).map(entry).collect();
-    entries.extend((30..40).map(cold));
+    entries.extend((30..40).map(warming));
     let set = Settings {
         router_count: 1,
-        ..rules()
+        ..slow_start_settings()
     };
     let sent_with = |processes: u64, seeds: u64| {
         let mut fleet = Fleet::new(&set, &entries);
@@ -68,20 +69,23 @@
         for _ in 0..300 / processes {
             fleet.round(Span::from_micros(10_000 * processes));
         }
-        let to_cold = fleet.sent.iter().filter(|s| s.2 >= 30).count();
-        (to_cold, fleet.most(Span::from_millis(1_500), |to| to >= 30))
+        let to_warming = fleet.sent.iter().filter(|s| s.2 >= 30).count();
+        (
+            to_warming,
+            fleet.max_sends(Span::from_millis(1_500), |to| to >= 30),
+        )
     };
-    // over many draws: in one alone chance makes a third more or less. Half of the budget at the
-    // start's capacity is what is meant to be sent; what the page puts down to chance beyond the
-    // whole of it is never reached
+    // over many draws, as chance makes a single one differ by a third. About half of the budget at
+    // the initial capacity is sent; the complete budget and its tolerance for chance are never
+    // exceeded
     let budget = 4.0 * 0.3 * 2.5 * 1.5;
     let sent = |processes| {
         let draws = (0..40).map(|n| sent_with(processes, 10 * n));
-        draws.fold((0, 0, 0), |(sum, most, over), (n, m)| {
+        draws.fold((0, 0, 0), |(sum, max, exceeded), (n, m)| {
             (
                 sum + n,
-                most.max(m),
-                over + usize::from(m as f64 > 4.0 * 0.5 * 2.5 * 1.5),
+                max.max(m),
+                exceeded + usize::from(m as f64 > 4.0 * 0.5 * 2.5 * 1.5),
             )
         })
     };
@@ -94,35 +98,35 @@
     );
 }
 
-/// A fleet that is all cold, and one with a single warm replica left, met by gateways that have
-/// sent nothing: together they stay under the rule, and each request is sent or refused, at once
-/// where no warm replica is left to wait for.
+/// A fleet that is warming up completely, and one with a single warm replica, with gateways that
+/// have sent nothing: together they stay within the rule, and each request is sent or rejected, at
+/// once where there is no warm replica to wait for.
 #[rstest]
-#[case::all_cold(0)]
+#[case::all_warming(0)]
 #[case::one_warm(1)]
-fn a_cold_fleet_is_not_sent_one_request_by_every_gateway_at_once(#[case] warm: u64) {
+fn warming_fleet_gets_no_burst(#[case] warm: u64) {
     let entries: Vec<ReplicaEntry> = (0..10)
-        .map(|k| if k < warm { entry(k) } else { cold(k) })
+        .map(|k| if k < warm { entry(k) } else { warming(k) })
         .collect();
-    let mut fleet = Fleet::new(&rules(), &entries);
-    // all of them have a request within a tenth of a second
+    let mut fleet = Fleet::new(&slow_start_settings(), &entries);
+    // each gateway has a request within a tenth of a second
     fleet.round(Span::from_millis(100));
     let rule = 4.0 * 0.3 * 10.0;
-    let most = fleet.most(Span::from_millis(1_500), |to| to >= warm);
+    let max = fleet.max_sends(Span::from_millis(1_500), |to| to >= warm);
     assert!(
-        (most as f64) <= rule,
-        "{most} sends to one cold replica, {rule} allowed"
+        (max as f64) <= rule,
+        "{max} sends to one warming replica, {rule} allowed"
     );
     assert!(fleet.sent.len() >= 30, "{} sends", fleet.sent.len());
     if warm == 0 {
-        // what has no turn is answered at once, not when its time runs out
-        assert_eq!(fleet.sent.len() + fleet.ended, GATEWAYS as usize);
+        // a request without a slow-start slot is answered at once, not at its deadline
+        assert_eq!(fleet.sent.len() + fleet.rejected, GATEWAYS as usize);
     }
     for _ in 0..4 {
         for k in 0..fleet.gateways.len() {
             let now = fleet.gateways[k].now + Span::from_millis(500);
-            fleet.act(k, now, vec![Event::TimerFired { timer_id: 0 }]);
+            fleet.step(k, now, vec![Event::TimerFired { timer_id: 0 }]);
         }
     }
-    assert_eq!(fleet.sent.len() + fleet.ended, GATEWAYS as usize);
+    assert_eq!(fleet.sent.len() + fleet.rejected, GATEWAYS as usize);
 }
--- a/tests/slow_start_sums.rs
+++ b/tests/slow_start_sums.rs
@@ -1,11 +1,11 @@
 //! Servers in slow start, and the calls that all processes together send them.
 //!
-//! The rule allows a server N calls in its window, N being the settings' multiple of what it can do
+//! The rule allows a server N calls in its window, N being the configured multiple of its capacity
 //! then, and for chance 2 x root of N + 2 more (under 30 calls 3 x root of N + 3). Each call is
-//! drawn on its own, so the calls in a window are a sum of independent draws. This test holds both
-//! ends of that: the mean is at most 0.6 of N, and no window of any play is over the bound. With a
-//! mean of 0.6 N a window is over the bound three times in a million at the most, for every N (the
-//! tail of a Poisson sum). A margin twice as wide fails by its mean.
+//! drawn on its own, so the calls in a window are a sum of independent draws. This test checks both
+//! limits: the mean is at most 0.6 of N, and no window of any run exceeds the bound. With a mean of
+//! 0.6 N a window exceeds the bound three times in a million at most, for every N (the tail of a
+//! Poisson sum). A margin twice as wide fails by its mean.
 
 mod common;
 
@@ -16,31 +16,31 @@
 use rstest::rstest;
 use stilespan::interface::*;
 
-/// Servers that run, and servers that have just started.
+/// Warm servers, and servers that have just started.
 const WARM: u64 = 30;
-const COLD: u64 = 10;
-/// How long a play lasts, in seconds.
+const WARMING: u64 = 10;
+/// Length of a run, in seconds.
 const LENGTH: f64 = 3.0;
-/// Plays of a case.
-const PLAYS: u64 = 4;
-/// The time in which first tokens are wanted.
-const AIM: Span = Span::from_secs(20);
+/// Runs of a case.
+const RUNS: u64 = 4;
+/// The objective for the time to the first token.
+const OBJECTIVE: Span = Span::from_secs(20);
 /// The longest prompt, in tokens.
-const LONGEST: f64 = 20_000.0;
+const MAX_PROMPT: f64 = 20_000.0;
 
-/// How requests come.
+/// How requests are distributed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Traffic {
-    /// Each process has as many as any.
+    /// Each process gets the same number.
     Even,
-    /// A tenth of the processes has seven in ten.
+    /// A tenth of the processes gets seven in ten.
     Uneven,
-    /// Even, and few prompts hold most of the work (Pareto, exponent 1.2).
+    /// Even, with most of the work in few prompts (Pareto, exponent 1.2).
     HeavyTailed,
 }
 
 impl Traffic {
-    /// The process at which the next request comes, and its prompt's length.
+    /// The process that gets the next request, and its prompt's length.
     fn draw(self, rng: &mut StdRng, processes: u32) -> (usize, u32) {
         let few = (processes / 10).max(1);
         let among = if self == Traffic::Uneven && rng.random_bool(0.7) {
@@ -50,7 +50,7 @@
         };
         let tail = 100.0 * (1.0 - rng.random::<f64>()).powf(-1.0 / 1.2);
         let prompt = if self == Traffic::HeavyTailed {
-            tail.min(LONGEST) as u32
+            tail.min(MAX_PROMPT) as u32
         } else {
             500
         };
@@ -58,27 +58,28 @@
     }
 }
 
-/// How servers start.
+/// How fast servers warm up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ramp {
-    /// At three tenths, and warm in 9 s: the rule allows more than a server's part of the calls.
+enum SlowStart {
+    /// From three tenths of the capacity, in 9 s: the rule allows more than a server's part of the
+    /// calls.
     Usual,
-    /// At a tenth, and warm in a minute: the rule allows less than that, so the margin decides.
+    /// From a tenth, in a minute: the rule allows less than that, so the margin decides.
     Long,
 }
 
-impl Ramp {
+impl SlowStart {
     fn settings(self, instances: u32) -> Settings {
         let mut set = Settings {
             router_count: instances,
-            ..rules()
+            ..slow_start_settings()
         };
-        // long enough for a first token of the slowest server: nothing but the draws keeps calls
-        // off it
-        set.classes[0].first_token_objective = AIM;
+        // long enough for a first token of the slowest server: only the draws keep calls away from
+        // it
+        set.classes[0].first_token_objective = OBJECTIVE;
         match self {
-            Ramp::Usual => set,
-            Ramp::Long => Settings {
+            SlowStart::Usual => set,
+            SlowStart::Long => Settings {
                 slow_start_floor: 0.1,
                 slow_start_duration: Span::from_secs(60),
                 ..set
@@ -86,23 +87,23 @@
         }
     }
 
-    /// Requests a second, so many that a play tells the mean.
+    /// Requests a second: enough for a run to measure the mean.
     fn rate(self) -> u64 {
         match self {
-            Ramp::Usual => 100,
-            Ramp::Long => 400,
+            SlowStart::Usual => 100,
+            SlowStart::Long => 400,
         }
     }
 }
 
-/// Calls that the rule allows a server in a window, chance aside, at this part of a warm one's
-/// capacity; `due` is a warm one's part of the calls a second.
+/// Calls that the rule allows a server in a window, without the tolerance for chance, at this
+/// fraction of a warm one's capacity; `due` is a warm one's part of the calls a second.
 fn allowed(set: &Settings, due: f64, capacity: f64) -> f64 {
     set.overload_factor * capacity * due * set.overload_window.as_secs_f64()
 }
 
-/// What the rule puts down to chance.
-fn chance(calls: f64) -> f64 {
+/// The rule's tolerance for chance, in calls.
+fn chance_tolerance(calls: f64) -> f64 {
     if calls < 30.0 {
         3.0 * calls.sqrt() + 3.0
     } else {
@@ -110,31 +111,33 @@
     }
 }
 
-/// What a server in slow start can do so long after its start, as a part of the whole: a straight
-/// line.
+/// The capacity of a server so many seconds after its start, as a fraction of a warm one's: it
+/// grows linearly.
 fn capacity(set: &Settings, since: f64) -> f64 {
     set.slow_start_floor
         + (1.0 - set.slow_start_floor) * since / set.slow_start_duration.as_secs_f64()
 }
 
-/// The windows in which a server in slow start got more calls than it may, each with what it got
-/// and what it may.
-fn over(set: &Settings, due: f64, sent: &[(Timestamp, usize, u64)]) -> Vec<(usize, f64)> {
+/// The windows in which a server in slow start got more calls than allowed, each with its calls and
+/// the limit.
+fn violations(set: &Settings, due: f64, sent: &[(Timestamp, usize, u64)]) -> Vec<(usize, f64)> {
     let calls_in = |at: Timestamp, to: u64| {
         sent.iter()
             .filter(|call| call.2 == to && call.0 >= at && call.0 - at <= set.overload_window)
             .count()
     };
     let windows = sent.iter().map(|&(at, _, to)| {
-        let may = allowed(set, due, capacity(set, (at - START).as_secs_f64()));
-        (calls_in(at, to), may + chance(may))
+        let limit = allowed(set, due, capacity(set, (at - START).as_secs_f64()));
+        (calls_in(at, to), limit + chance_tolerance(limit))
     });
-    windows.filter(|(got, may)| *got as f64 > *may).collect()
+    windows
+        .filter(|(calls, limit)| *calls as f64 > *limit)
+        .collect()
 }
 
-/// A play: the calls to servers in slow start.
-fn play(set: &Settings, traffic: Traffic, rate: u64, seed: u64) -> Vec<(Timestamp, usize, u64)> {
-    let entries: Vec<ReplicaEntry> = (0..WARM + COLD)
+/// The calls to servers in slow start in one run.
+fn run(set: &Settings, traffic: Traffic, rate: u64, seed: u64) -> Vec<(Timestamp, usize, u64)> {
+    let entries: Vec<ReplicaEntry> = (0..WARM + WARMING)
         .map(|k| {
             if k < WARM {
                 entry(k)
@@ -152,16 +155,16 @@
         let now = START + Span::from_micros(1_000_000 * n / rate);
         let (process, prompt) = traffic.draw(&mut rng, set.router_count);
         fleet.settle(now);
-        fleet.next += 1;
-        let ask = Arrival {
-            expires_at: now + AIM,
+        fleet.last_request += 1;
+        let request = Arrival {
+            expires_at: now + OBJECTIVE,
             prompt_tokens: prompt,
-            ..arrival(fleet.next)
+            ..arrival(fleet.last_request)
         };
-        fleet.act(process, now, vec![Event::RequestReceived(ask)]);
+        fleet.step(process, now, vec![Event::RequestReceived(request)]);
         if n % (rate / 20) == 0 {
             (0..fleet.gateways.len())
-                .for_each(|k| fleet.act(k, now, vec![Event::TimerFired { timer_id: 0 }]));
+                .for_each(|k| fleet.step(k, now, vec![Event::TimerFired { timer_id: 0 }]));
         }
     }
     fleet.sent.retain(|call| call.2 >= WARM);
@@ -169,30 +172,30 @@
 }
 
 #[rstest]
-fn the_sum_of_all_processes_keeps_the_rule_of_a_server_in_slow_start(
+fn all_processes_together_keep_the_rule(
     #[values(1, 3, 20, 30, 100, 300)] processes: u32,
     #[values(Traffic::Even, Traffic::Uneven, Traffic::HeavyTailed)] traffic: Traffic,
-    #[values(Ramp::Usual, Ramp::Long)] ramp: Ramp,
+    #[values(SlowStart::Usual, SlowStart::Long)] slow_start: SlowStart,
     #[values(1, 4)] busy: u64,
 ) {
-    let set = ramp.settings(processes);
-    let rate = busy * ramp.rate();
-    let due = rate as f64 / (WARM + COLD) as f64;
-    let in_all = COLD as f64 * allowed(&set, due, capacity(&set, LENGTH / 2.0)) * LENGTH
+    let set = slow_start.settings(processes);
+    let rate = busy * slow_start.rate();
+    let due = rate as f64 / (WARM + WARMING) as f64;
+    let in_all = WARMING as f64 * allowed(&set, due, capacity(&set, LENGTH / 2.0)) * LENGTH
         / set.overload_window.as_secs_f64();
     let mut calls = 0;
-    for seed in 1..=PLAYS {
-        let sent = play(&set, traffic, rate, seed);
+    for seed in 1..=RUNS {
+        let sent = run(&set, traffic, rate, seed);
         assert_eq!(
-            over(&set, due, &sent),
+            violations(&set, due, &sent),
             [],
-            "calls in a window, and how many it may have"
+            "calls in a window, and its limit"
         );
         calls += sent.len();
     }
-    let mean = calls as f64 / (in_all * PLAYS as f64);
+    let mean = calls as f64 / (in_all * RUNS as f64);
     assert!(
         (0.2..=0.6).contains(&mean),
-        "{calls} calls, {mean:.2} of what the rule allows on the mean"
+        "{calls} calls, {mean:.2} of what the rule allows on average"
     );
 }
--- a/tests/syscall_faults.rs
+++ b/tests/syscall_faults.rs
@@ -157,7 +157,8 @@
     }
 }
 
-/// Runs `check` on a sound configuration under these rules; whether it succeeds, and its error output.
+/// Runs `check` on a sound configuration under these rules; whether it succeeds, and its error
+/// output.
 fn check_command(rules: &[Rule]) -> (bool, String, Vec<(Call, u64)>) {
     let folder = tempfile::tempdir().unwrap();
     let config = folder.path().join("config.json");
--- a/tests/upgrade/maintenance_state.rs
+++ b/tests/upgrade/maintenance_state.rs
@@ -1,5 +1,5 @@
-//! Exclusions and drain hold in both processes and outlive each of them; a state file that cannot be
-//! read or written.
+//! Exclusions and drain hold in both processes and outlive each of them; a state file that cannot
+//! be read or written.
 
 use std::fs;
 use std::time::Duration;
