--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,17 +3,23 @@
 
 pub mod bystander;
 pub mod client;
-pub mod counted;
+pub mod counting_allocator;
 pub mod fleet;
 pub mod folder;
 pub mod injected;
+pub mod low_memory;
 pub mod peers;
 pub mod persistent;
 pub mod platform;
 pub mod process;
-pub mod scripted;
-pub mod small;
-pub mod world;
+pub mod random_events;
+pub mod requests;
+pub mod responses;
+pub mod router;
+pub mod rule_model;
+pub mod scripted_core;
+pub mod scripted_peer;
+pub mod wait;
 
 use stilespan::Balancer;
 use stilespan::interface::*;
