--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -13,8 +13,8 @@
     RouteStep,
 };
 use stilespan::spend::{
-    Budget, BudgetLimit, BudgetNode, BudgetTree, Ledger, MAX_BUDGET_TOKENS, MICRO_TOKENS_PER_TOKEN,
-    Period, PeriodLength,
+    Budget, BudgetLimit, BudgetNode, BudgetTree, Ledger, MAX_BUDGET_TOKENS, MicroTokens, Period,
+    PeriodLength,
 };
 
 const START: Time = Time(1_790_000_000_000_000);
@@ -28,12 +28,12 @@
         let each = |name: &str, length| Budget {
             name: name.into(),
             limit: BudgetLimit::PerPeriod {
-                amount: MAX_BUDGET_TOKENS * MICRO_TOKENS_PER_TOKEN,
+                amount: MicroTokens::from_tokens(MAX_BUDGET_TOKENS),
                 period: period(length),
             },
         };
         let rate = BudgetLimit::TokenBucket {
-            amount: MAX_BUDGET_TOKENS * MICRO_TOKENS_PER_TOKEN,
+            amount: MicroTokens::from_tokens(MAX_BUDGET_TOKENS),
             refill_time: Dur(1_000_000),
         };
         vec![
@@ -91,9 +91,9 @@
                 k = (k + 1) % leaves.len();
                 now.0 += 3;
                 let hold = ledger
-                    .reserve(leaves[k], 500 * MICRO_TOKENS_PER_TOKEN, now)
+                    .reserve(leaves[k], MicroTokens::from_tokens(500), now)
                     .unwrap();
-                black_box(ledger.settle(hold, 300 * MICRO_TOKENS_PER_TOKEN, now))
+                black_box(ledger.settle(hold, MicroTokens::from_tokens(300), now))
             });
         });
     }
--- a/src/edge/config.rs
+++ b/src/edge/config.rs
@@ -15,8 +15,8 @@
 use crate::interface::Dur;
 use crate::routing::{Catalog, CatalogError, ModelNumbers, ModelSpec, Named};
 use crate::spend::{
-    Budget, BudgetLimit, BudgetNode, BudgetTree, MAX_BUDGET_TOKENS, MAX_DEPTH,
-    MICRO_TOKENS_PER_TOKEN, Period, PeriodLength, Price,
+    Budget, BudgetLimit, BudgetNode, BudgetTree, MAX_BUDGET_TOKENS, MAX_DEPTH, MicroTokens, Period,
+    PeriodLength, Price,
 };
 
 #[derive(Deserialize)]
@@ -199,13 +199,14 @@
                 format!("tokens must be 0 to {MAX_BUDGET_TOKENS}"),
             )
         };
-        let amount = tokens.ok_or_else(what)? * MICRO_TOKENS_PER_TOKEN;
+        let amount = MicroTokens::from_tokens(tokens.ok_or_else(what)?);
         if let Some(rate) = &b.per_second {
             if b.per.is_some() || b.refill.is_some() || b.zone.is_some() {
                 return Err(self.wrong(rate.span(), "a rate goes with tokens (its burst) alone"));
             }
             let rate = self.within(rate, "per_second", 0.001, 1e9)?;
-            let refill_time = Dur::from_secs(amount as f64 / MICRO_TOKENS_PER_TOKEN as f64 / rate);
+            let refill_time =
+                Dur::from_secs(amount.as_u64() as f64 / MicroTokens::PER_TOKEN as f64 / rate);
             let name = b.name.clone().unwrap_or_else(|| "rate".into());
             return Ok(Budget {
                 name,
@@ -461,8 +462,8 @@
             Named {
                 name: p.model.clone(),
                 value: Price {
-                    per_prompt_token: p.prompt,
-                    per_output_token: p.answer,
+                    per_prompt_token: MicroTokens::new(p.prompt),
+                    per_output_token: MicroTokens::new(p.answer),
                 },
             }
         };
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -37,7 +37,7 @@
 use crate::identity::AuthenticationError;
 use crate::interface::{Dur, Effect, Time};
 use crate::routing::{Catalog, FirstTokenEstimates, ModelInventory, ModelNumbers};
-use crate::spend::{ClockReading, Ledger, MICRO_TOKENS_PER_TOKEN, NodeId};
+use crate::spend::{ClockReading, Ledger, NamedStatus, NodeId};
 use config::Book;
 use refusals::bad_key;
 pub use refusals::{exhausted, no_model};
@@ -135,7 +135,8 @@
     ) -> Result<Edge, ConfigError> {
         let clock = Clock::start();
         let malformed = |what: String| ConfigError::malformed(&file, what);
-        let ledger = Ledger::new(&book.tree, moment(clock)).map_err(|f| malformed(f.problem))?;
+        let ledger =
+            Ledger::new(&book.tree, moment(clock)).map_err(|f| malformed(f.problem.to_string()))?;
         let classes = config.classes.iter().zip(&config.settings.classes);
         let class = |(name, class): (&String, &crate::interface::Class)| Class {
             name: name.clone(),
@@ -195,7 +196,7 @@
         state
             .ledger
             .reload(&book.tree, now)
-            .map_err(|f| malformed(f.problem))?;
+            .map_err(|f| malformed(f.problem.to_string()))?;
         if book.schools != state.book.schools {
             warn!(
                 "{}: schools' shares changed: they come into force with the next start",
@@ -274,16 +275,15 @@
         let reports = node
             .map(|node| state.ledger.subtree_usage(node, now))
             .unwrap_or_default();
-        let whole = |amount: u64| amount.div_ceil(MICRO_TOKENS_PER_TOKEN);
         let data: Vec<Value> = reports
             .into_iter()
             .map(|report| {
-                let budget = |(name, reading): &(String, crate::spend::BudgetStatus)| {
+                let budget = |NamedStatus { name, status: reading }: &NamedStatus| {
                     let refills = (reading.refills_at.0 < u64::MAX).then_some(reading.refills_at.0 / 1_000_000);
-                    json!({"name": name, "limit": reading.limit / MICRO_TOKENS_PER_TOKEN, "used": whole(reading.spent),
-                    "reserved": whole(report.reserved), "refills_at": refills})
+                    json!({"name": name, "limit": reading.limit.tokens_rounded_down(), "used": reading.spent.tokens_rounded_up(),
+                    "reserved": report.reserved.tokens_rounded_up(), "refills_at": refills})
                 };
-                json!({"object": "budget", "node": report.path, "uncharged": whole(report.uncharged),
+                json!({"object": "budget", "node": report.path, "uncharged": report.uncharged.tokens_rounded_up(),
                 "budgets": report.budgets.iter().map(budget).collect::<Vec<_>>()})
             })
             .collect();
--- a/src/edge/refusals.rs
+++ b/src/edge/refusals.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::api::ApiError;
-use crate::spend::{BudgetExceeded, ClockReading, MICRO_TOKENS_PER_TOKEN};
+use crate::spend::{BudgetExceeded, ClockReading};
 
 /// The error for a key that is not valid, or is missing.
 pub(super) fn bad_key(message: &str, code: &'static str) -> ApiError {
@@ -45,14 +45,14 @@
             .limit
             .saturating_sub(reading.spent)
             .saturating_sub(*reserved)
-            / MICRO_TOKENS_PER_TOKEN;
+            .tokens_rounded_down();
         let reset = (reading.refills_at - now.wall).0.div_ceil(1_000_000);
         e = e
             .with(
                 "RateLimit-Policy",
                 format!(
                     "\"{budget}\";q={};w={window};qu=\"tokens\"",
-                    reading.limit / MICRO_TOKENS_PER_TOKEN
+                    reading.limit.tokens_rounded_down()
                 ),
             )
             .with("RateLimit", format!("\"{budget}\";r={left};t={reset}"));
--- a/src/edge/service.rs
+++ b/src/edge/service.rs
@@ -21,7 +21,7 @@
 use crate::routing::{
     Catalog, ChatQuery, Route, RouteError, RouteExhausted, RouteStep, Submission, SubmissionEnd,
 };
-use crate::spend::{BudgetExceeded, NodeId, Price, ReservationId};
+use crate::spend::{BudgetExceeded, MicroTokens, NodeId, Price, ReservationId};
 
 /// The longest patience of a client that is believed.
 const MAX_PATIENCE: Duration = Duration::from_secs(600);
@@ -130,7 +130,7 @@
                 .state()
                 .ledger
                 .settle(hold, self.price.cost(used.prompt, used.answer), now);
-        if charge.uncharged > 0 {
+        if charge.uncharged > MicroTokens::ZERO {
             debug!(
                 "{} of {} micro-tokens are beyond the budget and not charged",
                 charge.uncharged, charge.used
--- /dev/null
+++ b/src/spend/budget_usage/token_bucket.rs
@@ -0,0 +1,102 @@
+//! A budget that is refilled at a constant rate.
+
+use super::BudgetStatus;
+use crate::interface::{Dur, Time};
+use crate::spend::{ClockReading, MicroTokens};
+
+/// The state of a token bucket. The monotonic clock refills it.
+#[derive(Clone, Debug)]
+pub(in crate::spend) struct TokenBucket {
+    limit: MicroTokens,
+    refill_time: Dur,
+    /// The spent amount in units of a micro-token divided by the microseconds of `refill_time`: a
+    /// microsecond refills exactly `limit` units, so that no refill is rounded.
+    spent_units: u128,
+    /// The time up to which the bucket has been refilled, by the monotonic clock.
+    refilled_at: Time,
+}
+
+impl TokenBucket {
+    /// A full bucket. The refill time must be above zero.
+    pub fn new(limit: MicroTokens, refill_time: Dur, now: ClockReading) -> TokenBucket {
+        TokenBucket {
+            limit,
+            refill_time,
+            spent_units: 0,
+            refilled_at: now.monotonic,
+        }
+    }
+
+    /// The capacity of the bucket.
+    pub fn limit(&self) -> MicroTokens {
+        self.limit
+    }
+
+    /// The amount that is spent and not yet refilled, rounded up.
+    pub fn spent(&self) -> MicroTokens {
+        let spent = self.spent_units.div_ceil(self.units_per_micro_token());
+        MicroTokens::new(u64::try_from(spent).unwrap_or(u64::MAX))
+    }
+
+    fn units_per_micro_token(&self) -> u128 {
+        u128::from(self.refill_time.0)
+    }
+
+    /// Refills the bucket for the time that has passed.
+    pub fn advance(&mut self, now: ClockReading) {
+        let elapsed = now.monotonic - self.refilled_at;
+        let refilled = u128::from(elapsed.0) * u128::from(self.limit);
+        self.spent_units = self.spent_units.saturating_sub(refilled);
+        self.refilled_at = now.monotonic.max(self.refilled_at);
+    }
+
+    /// The time until an amount, at most the limit, is available beside what is spent.
+    pub fn time_to_available(&self, amount: MicroTokens) -> Dur {
+        let allowed = u128::from(self.limit - amount) * self.units_per_micro_token();
+        self.time_to_refill(self.spent_units.saturating_sub(allowed))
+    }
+
+    /// The time in which so many units are refilled, rounded up to a microsecond.
+    fn time_to_refill(&self, units: u128) -> Dur {
+        // a limit of zero refills nothing: one stands in for it, as a wait must be finite
+        let units_per_microsecond = u128::from(self.limit).max(1);
+        let microseconds = units.div_ceil(units_per_microsecond);
+        Dur(microseconds.min(u128::from(Dur::MAX.0)) as u64)
+    }
+
+    /// Spends an amount.
+    pub fn charge(&mut self, amount: MicroTokens) {
+        self.spent_units += u128::from(amount) * self.units_per_micro_token();
+    }
+
+    /// Takes over the spent amount. It stays exact where the refill time is the same, else it is
+    /// rounded up to a micro-token.
+    pub fn inherit(&mut self, previous: &TokenBucket) {
+        self.spent_units = if self.refill_time == previous.refill_time {
+            previous.spent_units
+        } else {
+            let spent = previous
+                .spent_units
+                .div_ceil(previous.units_per_micro_token());
+            spent * self.units_per_micro_token()
+        };
+        self.refilled_at = previous.refilled_at;
+    }
+
+    /// Restores a persisted amount that was spent as of this time.
+    pub fn restore(&mut self, spent: MicroTokens, spent_at: Time) {
+        self.spent_units = u128::from(spent) * self.units_per_micro_token();
+        self.refilled_at = spent_at;
+    }
+
+    /// The state as operators and clients see it.
+    pub fn status(&self, now: ClockReading) -> BudgetStatus {
+        let full_at = self.refilled_at + self.time_to_refill(self.spent_units);
+        BudgetStatus {
+            limit: self.limit,
+            spent: self.spent(),
+            refills_at: now.wall + (full_at - now.monotonic),
+            window: self.refill_time,
+        }
+    }
+}
--- a/src/spend/clock_reading.rs
+++ b/src/spend/clock_reading.rs
@@ -1,18 +1,18 @@
-//! The two clocks that budgets go by.
+//! The two clocks by which budgets are counted.
 
 use crate::interface::Time;
 
-/// Both clocks as they read at one moment. Calendar periods go by the wall clock, which may be
-/// stepped; refills are spans of real time and go by the monotonic one.
+/// Both clocks as they were read at one instant. Calendar periods follow the wall clock, which may
+/// be stepped; token buckets are refilled by the monotonic one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// A clock that is never stepped.
+    /// The clock that is never stepped.
     pub monotonic: Time,
-    /// Unix time, as the machine's clock has it.
+    /// Unix time by the machine's clock.
     pub wall: Time,
 }
 
-/// A moment at which no clock has been stepped.
+/// A reading at which both clocks agree: none has been stepped.
 impl From<Time> for ClockReading {
     fn from(time: Time) -> ClockReading {
         ClockReading {
--- /dev/null
+++ b/src/spend/ledger/budget_exceeded.rs
@@ -0,0 +1,32 @@
+//! The error of a reservation that does not fit into a budget.
+
+use thiserror::Error;
+
+use crate::interface::Dur;
+use crate::spend::{BudgetStatus, MicroTokens};
+
+/// An amount is not available at some budget. Of several budgets this is the one that is the last
+/// to have it.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+#[error("the budget {budget:?} of {node} is exceeded")]
+pub struct BudgetExceeded {
+    /// The path of the node.
+    pub node: String,
+    /// The depth of the node in the tree: 0 for the root.
+    pub depth: usize,
+    /// The name of the budget.
+    pub budget: String,
+    /// How long to wait before a retry; none where the amount is above the whole limit.
+    pub retry_after: Option<Dur>,
+    /// The state of the budget.
+    pub status: BudgetStatus,
+    /// The amount that is reserved at the node.
+    pub reserved: MicroTokens,
+}
+
+impl BudgetExceeded {
+    /// The wait, for comparison; an amount that is never available has the longest.
+    pub(super) fn wait(&self) -> Dur {
+        self.retry_after.unwrap_or(Dur::MAX)
+    }
+}
--- a/src/spend/ledger/snapshot.rs
+++ b/src/spend/ledger/snapshot.rs
@@ -1,51 +1,98 @@
-//! What is spent as plain data: written out, and brought back into another ledger.
+//! The spent amounts as plain data: taken from a ledger, and restored into another.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Ledger, NodeId};
+use super::Ledger;
+use super::node::{Node, NodeBudget};
 use crate::interface::Time;
 use crate::spend::{ClockReading, MicroTokens};
 
-/// A node's state as plain data: what a durable or shared ledger would keep. Reservations are not
-/// kept; whoever restores must have settled or charged them.
+/// The state of a node as a durable or shared ledger would store it. Reservations are not part of
+/// it; whoever restores it must have settled or charged them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeState {
-    /// Its path.
+    /// The path of the node.
     pub path: String,
-    /// Each budget's name, what is spent of it, and as of when (Unix time, microseconds).
-    pub spent: Vec<(String, MicroTokens, u64)>,
+    /// The states of its budgets.
+    pub spent: Vec<BudgetState>,
+}
+
+/// The state of a budget, stored as an array of its three fields.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "StoredBudgetState", into = "StoredBudgetState")]
+pub struct BudgetState {
+    /// The name of the budget.
+    pub name: String,
+    /// The amount that is spent.
+    pub spent: MicroTokens,
+    /// When that was so: Unix time, stored in microseconds.
+    pub spent_at: Time,
+}
+
+/// Name, spent amount and Unix time in microseconds.
+type StoredBudgetState = (String, MicroTokens, u64);
+
+impl From<StoredBudgetState> for BudgetState {
+    fn from((name, spent, micros): StoredBudgetState) -> BudgetState {
+        BudgetState {
+            name,
+            spent,
+            spent_at: Time(micros),
+        }
+    }
+}
+
+impl From<BudgetState> for StoredBudgetState {
+    fn from(state: BudgetState) -> StoredBudgetState {
+        (state.name, state.spent, state.spent_at.0)
+    }
 }
 
 impl Ledger {
-    /// What is spent, as plain data.
+    /// The spent amounts of all configured nodes.
     pub fn snapshot(&mut self, now: impl Into<ClockReading>) -> Vec<NodeState> {
         let now = now.into();
-        let listed = self.nodes.iter_mut().filter(|n| n.listed);
-        let state = listed.map(|n| {
-            let spent = n.budgets.iter_mut().map(|(name, gauge)| {
-                gauge.advance(now);
-                (name.clone(), gauge.status(now).spent, now.wall.0)
-            });
-            NodeState {
-                path: n.path.clone(),
-                spent: spent.collect(),
-            }
-        });
-        state.collect()
+        self.nodes
+            .iter_mut()
+            .filter(|node| node.is_configured)
+            .map(|node| node.state(now))
+            .collect()
     }
 
-    /// Brings back what a snapshot held; nodes and budgets that are not there now are passed over.
+    /// Restores the spent amounts of a snapshot. Nodes and budgets that the ledger does not have
+    /// are ignored.
     pub fn restore(&mut self, states: &[NodeState]) {
         for state in states {
-            let Some(NodeId(k)) = self.find_node(&state.path) else {
+            let Some(id) = self.find_node(&state.path) else {
                 continue;
             };
-            for (name, spent, at) in &state.spent {
-                let budgets = &mut self.nodes[k as usize].budgets;
-                if let Some((_, gauge)) = budgets.iter_mut().find(|b| b.0 == *name) {
-                    gauge.restore(*spent, Time(*at));
+            let node = &mut self.nodes[id.index()];
+            for stored in &state.spent {
+                if let Some(budget) = node.find_budget(&stored.name) {
+                    budget.usage.restore(stored.spent, stored.spent_at);
                 }
             }
         }
     }
 }
+
+impl Node {
+    fn state(&mut self, now: ClockReading) -> NodeState {
+        let budgets = self.budgets.iter_mut().map(|budget| budget.state(now));
+        NodeState {
+            path: self.path.clone(),
+            spent: budgets.collect(),
+        }
+    }
+}
+
+impl NodeBudget {
+    fn state(&mut self, now: ClockReading) -> BudgetState {
+        self.usage.advance(now);
+        BudgetState {
+            name: self.name.clone(),
+            spent: self.usage.status(now).spent,
+            spent_at: now.wall,
+        }
+    }
+}
--- a/src/spend/period.rs
+++ b/src/spend/period.rs
@@ -1,15 +1,20 @@
-//! Periods in a place's own time: hours, days and weeks by its clock, clock changes too, and a
-//! school's terms.
+//! Calendar periods in a time zone: hours, days and weeks by its clock, with its clock changes, and
+//! the terms of schools.
 
 use std::sync::Arc;
 
 use jiff::civil::Date;
 use jiff::tz::TimeZone;
-use jiff::{Timestamp, ToSpan, ZonedDateTime};
+use jiff::{ToSpan, ZonedDateTime};
 
 use crate::interface::Time;
 
-/// How long a period is.
+/// The end of a period that has none.
+const NEVER: Time = Time(u64::MAX);
+const MICROS_PER_SECOND: u64 = 1_000_000;
+const SECONDS_PER_HOUR: u64 = 3_600;
+
+/// The length of a period.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeriodLength {
     /// An hour of the clock.
@@ -18,134 +23,112 @@
     Day,
     /// From Monday to Monday.
     Week,
-    /// From one of these days to the next, in order; before the first and after the last there is
-    /// no end.
+    /// From one of these days, which are in ascending order, to the next. The period before the
+    /// first has no start, and that after the last no end.
     Term(Arc<[Date]>),
 }
 
-/// A period in a time zone.
+/// A period that repeats in a time zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Period {
     /// Its length.
     pub length: PeriodLength,
-    /// Whose clock.
+    /// The time zone whose clock it follows.
     pub zone: TimeZone,
 }
 
-/// The end of a period that has none.
-const NEVER: Time = Time(u64::MAX);
+/// One occurrence of a period.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PeriodBounds {
+    /// Its first instant.
+    pub start: Time,
+    /// The first instant of the next one.
+    pub end: Time,
+}
+
+impl PeriodBounds {
+    const UNBOUNDED: PeriodBounds = PeriodBounds {
+        start: Time(0),
+        end: NEVER,
+    };
+
+    /// Whether an instant lies in both.
+    pub fn overlaps(&self, other: &PeriodBounds) -> bool {
+        other.start < self.end && self.start < other.end
+    }
+}
 
 impl Period {
-    /// The period that holds an instant: its first, and the first of the next. An instant that no
-    /// calendar has lies in a period without an end.
-    pub fn around(&self, at: Time) -> (Time, Time) {
-        self.find(at).unwrap_or((Time(0), NEVER))
+    /// The occurrence that an instant lies in. It is unbounded where the calendar does not reach
+    /// the instant.
+    pub fn bounds(&self, instant: Time) -> PeriodBounds {
+        self.find_bounds(instant).unwrap_or(PeriodBounds::UNBOUNDED)
     }
 
-    fn find(&self, at: Time) -> Option<(Time, Time)> {
-        let instant = Timestamp::from_microsecond(i64::try_from(at.0).ok()?).ok()?;
-        let here: ZonedDateTime = instant.to_zoned_datetime(self.zone.clone());
-        let midnight = |date: Date| date.to_zoned_datetime(self.zone.clone()).ok().map(time);
+    fn find_bounds(&self, instant: Time) -> Option<PeriodBounds> {
+        let micros = i64::try_from(instant.0).ok()?;
+        let timestamp = jiff::Timestamp::from_microsecond(micros).ok()?;
+        let local = timestamp.to_zoned_datetime(self.zone.clone());
         match &self.length {
-            PeriodLength::Hour => {
-                // guards against an hour of the clock that comes twice, or in part, at a clock
-                // change: hours count in elapsed time from the offset's own hour
-                let shift = i64::from(here.offset().seconds()).rem_euclid(3600) as u64 * 1_000_000;
-                let hour = 3_600_000_000;
-                let start = (at.0 + shift) / hour * hour;
-                Some((
-                    Time(start.saturating_sub(shift)),
-                    Time(start + hour - shift),
-                ))
+            PeriodLength::Hour => Some(hour_bounds(instant, &local)),
+            PeriodLength::Day => {
+                let today = local.date();
+                self.date_bounds(today, today.checked_add(1.day()).ok()?)
             }
-            PeriodLength::Day => Some((
-                midnight(here.date())?,
-                midnight(here.date().checked_add(1.day()).ok()?)?,
-            )),
             PeriodLength::Week => {
-                let back = here.date().weekday().to_monday_zero_offset();
-                let monday = here.date().checked_sub(back.days()).ok()?;
-                Some((
-                    midnight(monday)?,
-                    midnight(monday.checked_add(7.days()).ok()?)?,
-                ))
-            }
-            PeriodLength::Term(days) => {
-                let next = days.partition_point(|d| midnight(*d).is_some_and(|m| m <= at));
-                let start = next
-                    .checked_sub(1)
-                    .and_then(|k| midnight(days[k]))
-                    .unwrap_or(Time(0));
-                Some((
-                    start,
-                    days.get(next).and_then(|d| midnight(*d)).unwrap_or(NEVER),
-                ))
+                let days_since_monday = local.date().weekday().to_monday_zero_offset();
+                let monday = local.date().checked_sub(days_since_monday.days()).ok()?;
+                self.date_bounds(monday, monday.checked_add(7.days()).ok()?)
             }
+            PeriodLength::Term(first_days) => Some(self.term_bounds(instant, first_days)),
         }
     }
-}
 
-fn time(zoned: ZonedDateTime) -> Time {
-    Time(u64::try_from(zoned.timestamp().as_microsecond()).unwrap_or(0))
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rstest::rstest;
-
-    fn at(text: &str) -> Time {
-        Time(text.parse::<Timestamp>().unwrap().as_microsecond() as u64)
+    fn date_bounds(&self, first_day: Date, next_first_day: Date) -> Option<PeriodBounds> {
+        Some(PeriodBounds {
+            start: self.start_of_day(first_day)?,
+            end: self.start_of_day(next_first_day)?,
+        })
     }
 
-    #[rstest]
-    #[case::a_plain_day(PeriodLength::Day, "2026-10-05T12:00:00-04:00", 24)]
-    #[case::the_day_loses_an_hour(PeriodLength::Day, "2026-03-08T12:00:00-04:00", 23)]
-    #[case::the_day_gains_an_hour(PeriodLength::Day, "2026-11-01T01:30:00-05:00", 25)]
-    #[case::the_week_gains_an_hour(PeriodLength::Week, "2026-11-01T12:00:00-05:00", 169)]
-    #[case::an_hour(PeriodLength::Hour, "2026-11-01T01:30:00-04:00", 1)]
-    #[case::the_hour_that_comes_twice(PeriodLength::Hour, "2026-11-01T01:30:00-05:00", 1)]
-    fn periods_go_by_the_places_clock(
-        #[case] length: PeriodLength,
-        #[case] now: &str,
-        #[case] hours: u64,
-    ) {
-        let period = Period {
-            length,
-            zone: TimeZone::get("America/New_York").unwrap(),
+    fn term_bounds(&self, instant: Time, first_days: &[Date]) -> PeriodBounds {
+        let has_begun = |day: &Date| {
+            self.start_of_day(*day)
+                .is_some_and(|start| start <= instant)
+        };
+        let next = first_days.partition_point(has_begun);
+        let start_of_term = |index: usize| {
+            let day = first_days.get(index)?;
+            self.start_of_day(*day)
         };
-        let now = at(now);
-        let (start, end) = period.around(now);
-        assert!(start <= now && now < end);
-        assert_eq!((end - start).0, hours * 3_600_000_000);
-        // the periods join without a gap
-        assert_eq!(period.around(end).0, end);
-        assert_eq!(period.around(Time(start.0 - 1)).1, start);
+        let present = next.checked_sub(1);
+        PeriodBounds {
+            start: present.and_then(start_of_term).unwrap_or(Time(0)),
+            end: start_of_term(next).unwrap_or(NEVER),
+        }
     }
 
-    #[test]
-    fn terms_begin_on_their_days() {
-        let days = ["2026-08-24", "2027-01-11"].map(|d| d.parse().unwrap());
-        let period = Period {
-            length: PeriodLength::Term(days.into()),
-            zone: TimeZone::get("Europe/Berlin").unwrap(),
-        };
-        let first = at("2026-08-24T00:00:00+02:00");
-        let second = at("2027-01-11T00:00:00+01:00");
-        assert_eq!(period.around(at("2026-08-01T00:00:00Z")), (Time(0), first));
-        assert_eq!(period.around(first), (first, second));
-        assert_eq!(period.around(second), (second, NEVER));
+    /// Midnight, or the first instant of a day whose midnight a clock change skips.
+    fn start_of_day(&self, day: Date) -> Option<Time> {
+        let midnight = day.to_zoned_datetime(self.zone.clone()).ok()?;
+        let micros = midnight.timestamp().as_microsecond();
+        Some(Time(u64::try_from(micros).unwrap_or(0)))
     }
+}
 
-    /// A day whose midnight the clock skips begins at its first instant.
-    #[test]
-    fn a_midnight_that_the_clock_skips() {
-        let period = Period {
-            length: PeriodLength::Day,
-            zone: TimeZone::get("America/Sao_Paulo").unwrap(),
-        };
-        let (start, end) = period.around(at("2018-11-04T12:00:00-02:00"));
-        assert_eq!(start, at("2018-11-04T01:00:00-02:00"));
-        assert_eq!((end - start).0, 23 * 3_600_000_000);
+/// The bounds of an hour. They are counted in elapsed time from the present offset of the zone, so
+/// that an hour that a clock change repeats or cuts is a period of its own.
+fn hour_bounds(instant: Time, local: &ZonedDateTime) -> PeriodBounds {
+    const HOUR: u64 = SECONDS_PER_HOUR * MICROS_PER_SECOND;
+    let offset_seconds = i64::from(local.offset().seconds());
+    let past_full_hour = offset_seconds.rem_euclid(SECONDS_PER_HOUR as i64) as u64;
+    let shift = past_full_hour * MICROS_PER_SECOND;
+    let local_start = (instant.0 + shift) / HOUR * HOUR;
+    PeriodBounds {
+        start: Time(local_start.saturating_sub(shift)),
+        end: Time(local_start + HOUR - shift),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/spend/period/tests.rs
@@ -0,0 +1,64 @@
+use super::*;
+use rstest::rstest;
+
+fn at(text: &str) -> Time {
+    Time(text.parse::<jiff::Timestamp>().unwrap().as_microsecond() as u64)
+}
+
+fn bounds(start: Time, end: Time) -> PeriodBounds {
+    PeriodBounds { start, end }
+}
+
+#[rstest]
+#[case::a_plain_day(PeriodLength::Day, "2026-10-05T12:00:00-04:00", 24)]
+#[case::the_day_loses_an_hour(PeriodLength::Day, "2026-03-08T12:00:00-04:00", 23)]
+#[case::the_day_gains_an_hour(PeriodLength::Day, "2026-11-01T01:30:00-05:00", 25)]
+#[case::the_week_gains_an_hour(PeriodLength::Week, "2026-11-01T12:00:00-05:00", 169)]
+#[case::an_hour(PeriodLength::Hour, "2026-11-01T01:30:00-04:00", 1)]
+#[case::the_hour_that_comes_twice(PeriodLength::Hour, "2026-11-01T01:30:00-05:00", 1)]
+fn periods_go_by_the_places_clock(
+    #[case] length: PeriodLength,
+    #[case] now: &str,
+    #[case] hours: u64,
+) {
+    let period = Period {
+        length,
+        zone: TimeZone::get("America/New_York").unwrap(),
+    };
+    let now = at(now);
+    let PeriodBounds { start, end } = period.bounds(now);
+    assert!(start <= now && now < end);
+    assert_eq!((end - start).0, hours * 3_600_000_000);
+    // the periods join without a gap
+    assert_eq!(period.bounds(end).start, end);
+    assert_eq!(period.bounds(Time(start.0 - 1)).end, start);
+}
+
+#[test]
+fn terms_begin_on_their_days() {
+    let days = ["2026-08-24", "2027-01-11"].map(|d| d.parse().unwrap());
+    let period = Period {
+        length: PeriodLength::Term(days.into()),
+        zone: TimeZone::get("Europe/Berlin").unwrap(),
+    };
+    let first = at("2026-08-24T00:00:00+02:00");
+    let second = at("2027-01-11T00:00:00+01:00");
+    assert_eq!(
+        period.bounds(at("2026-08-01T00:00:00Z")),
+        bounds(Time(0), first)
+    );
+    assert_eq!(period.bounds(first), bounds(first, second));
+    assert_eq!(period.bounds(second), bounds(second, NEVER));
+}
+
+/// A day whose midnight the clock skips begins at its first instant.
+#[test]
+fn a_midnight_that_the_clock_skips() {
+    let period = Period {
+        length: PeriodLength::Day,
+        zone: TimeZone::get("America/Sao_Paulo").unwrap(),
+    };
+    let PeriodBounds { start, end } = period.bounds(at("2018-11-04T12:00:00-02:00"));
+    assert_eq!(start, at("2018-11-04T01:00:00-02:00"));
+    assert_eq!((end - start).0, 23 * 3_600_000_000);
+}
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use stilespan::interface::{Dur, ReplicaId, State, Time};
 use stilespan::routing::*;
-use stilespan::spend::Price;
+use stilespan::spend::{MicroTokens, Price};
 
 const AIM: Dur = Dur(400_000);
 
@@ -283,8 +283,8 @@
     let price = |name: &str| Named {
         name: name.into(),
         value: Price {
-            per_prompt_token: 1,
-            per_output_token: 2,
+            per_prompt_token: MicroTokens::new(1),
+            per_output_token: MicroTokens::new(2),
         },
     };
     let mut numbers = ModelNumbers::default();
@@ -295,7 +295,7 @@
     assert_eq!((good.find("x"), good.aliases(1)), (Some(1), vec!["x", "y"]));
     assert_eq!(
         (good.model(0).price, good.model(1).price.cost(3, 4)),
-        (Price::default(), 11)
+        (Price::default(), MicroTokens::new(11))
     );
     assert!(matches!(
         of(&[alias("x", "c")], &[]),
--- a/tests/spend.rs
+++ b/tests/spend.rs
@@ -7,37 +7,40 @@
 use proptest::prelude::*;
 use stilespan::interface::{Dur, Time};
 use stilespan::spend::{
-    Budget, BudgetLimit, BudgetNode, BudgetTree, Ledger, MicroTokens, Period, PeriodLength,
-    ReservationId,
+    Budget, BudgetLimit, BudgetNode, BudgetTree, Ledger, MicroTokens, NamedStatus, Period,
+    PeriodLength, ReservationId,
 };
 
 const HOUR: u64 = 3_600_000_000;
 const START: u64 = 1_000_000 * HOUR;
 const PATHS: [&str; 6] = ["d", "d/n", "d/s", "d/n/a", "d/n/b", "d/n/a/p"];
 
-fn hourly(amount: MicroTokens) -> Budget {
+fn hourly(amount: u64) -> Budget {
     let period = Period {
         length: PeriodLength::Hour,
         zone: TimeZone::UTC,
     };
     Budget {
         name: "hour".into(),
-        limit: BudgetLimit::PerPeriod { amount, period },
+        limit: BudgetLimit::PerPeriod {
+            amount: MicroTokens::new(amount),
+            period,
+        },
     }
 }
 
-fn drip(amount: MicroTokens) -> Budget {
+fn drip(amount: u64) -> Budget {
     Budget {
         name: "drip".into(),
         limit: BudgetLimit::TokenBucket {
-            amount,
+            amount: MicroTokens::new(amount),
             refill_time: Dur(HOUR / 60),
         },
     }
 }
 
-fn tree(limits: &[MicroTokens; 6], instances: u32) -> BudgetTree {
-    let node = |(path, limit): (&&str, &MicroTokens)| BudgetNode {
+fn tree(limits: &[u64; 6], instances: u32) -> BudgetTree {
+    let node = |(path, limit): (&&str, &u64)| BudgetNode {
         path: path.to_string(),
         budgets: vec![hourly(*limit), drip(*limit / 2 + 1)],
     };
@@ -49,14 +52,14 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Reserve(usize, MicroTokens),
-    Extend(usize, MicroTokens),
-    Resize(usize, MicroTokens),
-    Settle(usize, MicroTokens),
+    Reserve(usize, u64),
+    Extend(usize, u64),
+    Resize(usize, u64),
+    Settle(usize, u64),
     Release(usize),
     Forward(u64),
     Back(u64),
-    Reload([MicroTokens; 6]),
+    Reload([u64; 6]),
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -75,7 +78,7 @@
 /// One budget of the model: what it charged, by exact sums.
 #[derive(Clone, Default)]
 struct Sum {
-    limit: MicroTokens,
+    limit: u64,
     spent: u128,
     /// The hour that is counted; a drip's time and its refill's remainder.
     mark: u64,
@@ -86,13 +89,13 @@
     /// Per path: the hour's budget and the drip, in units of 1/refill_time so that no refill is
     /// rounded.
     sums: BTreeMap<&'static str, (Sum, Sum)>,
-    reservations: BTreeMap<ReservationId, (&'static str, MicroTokens)>,
+    reservations: BTreeMap<ReservationId, (&'static str, u64)>,
 }
 
 const FULL: u128 = (HOUR / 60) as u128;
 
 impl Model {
-    fn new(limits: &[MicroTokens; 6]) -> Model {
+    fn new(limits: &[u64; 6]) -> Model {
         let mut model = Model {
             now: START,
             sums: BTreeMap::new(),
@@ -105,7 +108,7 @@
         model
     }
 
-    fn limits(&mut self, limits: &[MicroTokens; 6]) {
+    fn limits(&mut self, limits: &[u64; 6]) {
         self.pass();
         for (path, limit) in PATHS.iter().zip(limits) {
             let sum = self.sums.entry(path).or_default();
@@ -138,7 +141,7 @@
     }
 
     /// Whether there is room at every node of the path.
-    fn room(&mut self, path: &str, more: MicroTokens) -> bool {
+    fn room(&mut self, path: &str, more: u64) -> bool {
         self.pass();
         for (node, (hour, drip)) in &self.sums {
             if !Model::over(path, node) {
@@ -156,7 +159,7 @@
         true
     }
 
-    fn settle(&mut self, id: ReservationId, used: MicroTokens) {
+    fn settle(&mut self, id: ReservationId, used: u64) {
         self.pass();
         let Some((path, amount)) = self.reservations.remove(&id) else {
             return;
@@ -193,7 +196,7 @@
                 Op::Reserve(node, amount) => {
                     let id = ledger.find_node(PATHS[node]).unwrap();
                     let expected = model.room(PATHS[node], amount);
-                    let got = ledger.reserve(id, amount, now);
+                    let got = ledger.reserve(id, MicroTokens::new(amount), now);
                     prop_assert_eq!(got.is_ok(), expected, "{:?}", got);
                     match got {
                         Ok(hold) => {
@@ -214,9 +217,9 @@
                     let grown = known.zip(to).and_then(|(h, to)| Some((h.0, to.checked_sub(h.1)?)));
                     let expected = grown.map(|(path, by)| model.room(path, by));
                     let got = if matches!(op, Op::Extend(..)) {
-                        ledger.extend(hold, more, now)
+                        ledger.extend(hold, MicroTokens::new(more), now)
                     } else {
-                        ledger.resize(hold, more, now)
+                        ledger.resize(hold, MicroTokens::new(more), now)
                     };
                     if let (Some(expected), Some((_, 1..))) = (expected, grown) {
                         prop_assert_eq!(got.is_ok(), expected);
@@ -224,10 +227,10 @@
                     if let (Ok(()), Some(held), Some(to)) = (got, model.reservations.get_mut(&hold), to) {
                         held.1 = to;
                     }
-                    prop_assert_eq!(ledger.reserved(hold), model.reservations.get(&hold).map_or(0, |h| h.1));
+                    prop_assert_eq!(ledger.reserved(hold).as_u64(), model.reservations.get(&hold).map_or(0, |h| h.1));
                 },
                 Op::Settle(k, used) => if let Some(hold) = some(k, &all) {
-                    let charge = ledger.settle(hold, used, now);
+                    let charge = ledger.settle(hold, MicroTokens::new(used), now);
                     prop_assert!(charge.uncharged <= charge.used);
                     model.settle(hold, used);
                 },
@@ -250,9 +253,9 @@
                 let reserved = model.reserved(&report.path);
                 prop_assert_eq!(u128::from(report.reserved), reserved);
                 let (hour, drip) = &model.sums[report.path.as_str()];
-                prop_assert_eq!(u128::from(report.budgets[0].1.spent), hour.spent, "{}", report.path);
-                prop_assert_eq!(u128::from(report.budgets[1].1.spent), drip.spent.div_ceil(FULL));
-                for (_, reading) in &report.budgets {
+                prop_assert_eq!(u128::from(report.budgets[0].status.spent), hour.spent, "{}", report.path);
+                prop_assert_eq!(u128::from(report.budgets[1].status.spent), drip.spent.div_ceil(FULL));
+                for NamedStatus { status: reading, .. } in &report.budgets {
                     // 499 is the most that one request uses here
                     let most = u128::from(reading.limit) + 499;
                     prop_assert!(lowered || u128::from(reading.spent) + reserved <= most);
@@ -264,7 +267,7 @@
         }
         prop_assert_eq!(ledger.reservation_count(), 0);
         let root = ledger.find_node("d").unwrap();
-        prop_assert!(ledger.subtree_usage(root, Time(model.now)).iter().all(|r| r.reserved == 0));
+        prop_assert!(ledger.subtree_usage(root, Time(model.now)).iter().all(|r| r.reserved == MicroTokens::ZERO));
     }
 }
 
@@ -275,7 +278,10 @@
     for _ in 0..3 {
         let mut ledger = Ledger::new(&tree, Time(START)).unwrap();
         let node = ledger.find_node("d/n/a").unwrap();
-        while ledger.reserve(node, 10, Time(START)).is_ok() {
+        while ledger
+            .reserve(node, MicroTokens::new(10), Time(START))
+            .is_ok()
+        {
             used += 10;
         }
     }
@@ -287,23 +293,37 @@
     let limits = [10_000, 1_000, 1_000, 1_000, 1_000, 1_000];
     let mut ledger = Ledger::new(&tree(&limits, 1), Time(START)).unwrap();
     let node = ledger.find_node("d/n/a").unwrap();
-    let whole = ledger.reserve(node, 400, Time(START)).unwrap();
+    let whole = ledger
+        .reserve(node, MicroTokens::new(400), Time(START))
+        .unwrap();
     // only reservations stand in the way: soon
-    let short = ledger.reserve(node, 300, Time(START)).unwrap_err();
+    let short = ledger
+        .reserve(node, MicroTokens::new(300), Time(START))
+        .unwrap_err();
     assert!(
         short.retry_after.is_some_and(|d| d <= Dur(1_000_000)),
         "{short:?}"
     );
-    ledger.settle(whole, 400, Time(START));
+    ledger.settle(whole, MicroTokens::new(400), Time(START));
     // the drip of 501 lets 200 more in once 99 of them are refilled, and not a moment earlier
-    let short = ledger.reserve(node, 200, Time(START)).unwrap_err();
+    let short = ledger
+        .reserve(node, MicroTokens::new(200), Time(START))
+        .unwrap_err();
     let wait = short.retry_after.unwrap();
-    assert!(ledger.reserve(node, 200, Time(START + wait.0 - 1)).is_err());
-    assert!(ledger.reserve(node, 200, Time(START + wait.0)).is_ok());
+    assert!(
+        ledger
+            .reserve(node, MicroTokens::new(200), Time(START + wait.0 - 1))
+            .is_err()
+    );
+    assert!(
+        ledger
+            .reserve(node, MicroTokens::new(200), Time(START + wait.0))
+            .is_ok()
+    );
     // what is larger than the whole limit never fits, and says so by naming no time
     assert_eq!(
         ledger
-            .reserve(node, 5_000, Time(START))
+            .reserve(node, MicroTokens::new(5_000), Time(START))
             .unwrap_err()
             .retry_after,
         None
@@ -314,9 +334,13 @@
 fn a_reload_keeps_what_is_spent_and_ends_what_is_gone() {
     let mut ledger = Ledger::new(&tree(&[1_000; 6], 1), Time(START)).unwrap();
     let node = ledger.find_node("d/n/a/p").unwrap();
-    let hold = ledger.reserve(node, 200, Time(START)).unwrap();
-    let used = ledger.reserve(node, 200, Time(START)).unwrap();
-    ledger.settle(used, 200, Time(START));
+    let hold = ledger
+        .reserve(node, MicroTokens::new(200), Time(START))
+        .unwrap();
+    let used = ledger
+        .reserve(node, MicroTokens::new(200), Time(START))
+        .unwrap();
+    ledger.settle(used, MicroTokens::new(200), Time(START));
     let smaller = BudgetTree {
         nodes: tree(&[300; 6], 1).nodes[..3].to_vec(),
         instances: 1,
@@ -327,23 +351,29 @@
     let reports = ledger.subtree_usage(root, Time(START));
     assert_eq!(reports.len(), 3);
     assert_eq!(
-        (reports[0].reserved, reports[0].budgets[0].1.spent),
-        (200, 200)
+        (reports[0].reserved, reports[0].budgets[0].status.spent),
+        (MicroTokens::new(200), MicroTokens::new(200))
     );
     let school = ledger.find_node("d/n").unwrap();
     assert!(
-        ledger.reserve(school, 1, Time(START)).is_err(),
+        ledger
+            .reserve(school, MicroTokens::new(1), Time(START))
+            .is_err(),
         "lowered below what is taken: it refuses"
     );
-    ledger.settle(hold, 50, Time(START));
+    ledger.settle(hold, MicroTokens::new(50), Time(START));
     assert_eq!(ledger.find_node("d/n/a/p"), None);
     assert_eq!(
         ledger.subtree_usage(root, Time(START))[0].budgets[0]
-            .1
+            .status
             .spent,
-        250
+        MicroTokens::new(250)
+    );
+    assert!(
+        ledger
+            .reserve(school, MicroTokens::new(10), Time(START + HOUR))
+            .is_ok()
     );
-    assert!(ledger.reserve(school, 10, Time(START + HOUR)).is_ok());
     // a bad tree changes nothing
     let bad = BudgetTree {
         nodes: vec![BudgetNode {
@@ -357,6 +387,7 @@
             .reload(&bad, Time(START))
             .unwrap_err()
             .problem
+            .to_string()
             .contains("stands under no node")
     );
     assert!(ledger.find_node("d/n").is_some());
@@ -367,8 +398,10 @@
     let tree = tree(&[1_000; 6], 1);
     let mut ledger = Ledger::new(&tree, Time(START)).unwrap();
     let node = ledger.find_node("d/n/a").unwrap();
-    let hold = ledger.reserve(node, 300, Time(START)).unwrap();
-    ledger.settle(hold, 300, Time(START));
+    let hold = ledger
+        .reserve(node, MicroTokens::new(300), Time(START))
+        .unwrap();
+    ledger.settle(hold, MicroTokens::new(300), Time(START));
     let text = serde_json::to_string(&ledger.snapshot(Time(START))).unwrap();
     let mut again = Ledger::new(&tree, Time(START + 1)).unwrap();
     again.restore(&serde_json::from_str::<Vec<_>>(&text).unwrap());
@@ -377,12 +410,16 @@
         ledger
             .subtree_usage(root, Time(at))
             .iter()
-            .map(|r| r.budgets[0].1.spent)
+            .map(|r| r.budgets[0].status.spent)
             .collect::<Vec<_>>()
     };
     assert_eq!(spent(&mut again, START + 1), spent(&mut ledger, START + 1));
     // a state of an earlier period is not brought back into a later one
     let mut later = Ledger::new(&tree, Time(START + HOUR)).unwrap();
     later.restore(&ledger.snapshot(Time(START)));
-    assert!(spent(&mut later, START + HOUR).iter().all(|s| *s == 0));
+    assert!(
+        spent(&mut later, START + HOUR)
+            .iter()
+            .all(|s| *s == MicroTokens::ZERO)
+    );
 }
