--- a/benches/edge.rs
+++ b/benches/edge.rs
@@ -53,7 +53,7 @@
             edge.push_str("budgets = [{ per = \"day\", tokens = 1_000_000_000 }]\n");
         }
         let text = key(node);
-        let (id, secret) = identity::split_key(&text).unwrap();
+        let identity::KeyParts { id, secret } = identity::split_key(&text).unwrap();
         let hash = identity::format_hash(&identity::hash_secret(secret));
         keys.push_str(&format!(
             "[[key]]\nid = \"{id}\"\nnode = \"{node}\"\nhash = \"{hash}\"\n"
--- a/src/commands/keys.rs
+++ b/src/commands/keys.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SysRng;
 
 use super::CommandError;
-use crate::identity;
+use crate::identity::{self, KeyParts};
 
 /// The most bytes that are read of a key.
 const MAX_INPUT_BYTES: u64 = 4096;
@@ -44,7 +44,7 @@
 }
 
 fn print_entry(key: &str, node: &str) {
-    if let Some((id, secret)) = identity::split_key(key) {
+    if let Some(KeyParts { id, secret }) = identity::split_key(key) {
         let hash = identity::format_hash(&identity::hash_secret(secret));
         println!("[[key]]\nid = {id:?}\nnode = {node:?}\nhash = \"{hash}\"");
     }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -34,7 +34,7 @@
 use crate::config::{Config, ConfigError};
 use crate::core::Clock;
 use crate::core::CoreHandle;
-use crate::identity::AuthenticationError;
+use crate::identity::{AuthenticatedKey, AuthenticationError};
 use crate::interface::{Dur, Effect, Time};
 use crate::routing::{Catalog, FirstTokenEstimates, ModelInventory, ModelNumbers};
 use crate::spend::{ClockReading, Ledger, NamedStatus, NodeId};
@@ -221,7 +221,7 @@
             return Ok(Caller::default());
         };
         match keys.authenticate(authorization) {
-            Ok((key, node)) => Ok(Caller(Some(Known {
+            Ok(AuthenticatedKey { id: key, node }) => Ok(Caller(Some(Known {
                 key: key.into(),
                 node: node.into(),
             }))),
--- a/tests/batch_faults.rs
+++ b/tests/batch_faults.rs
@@ -46,7 +46,7 @@
 
 fn write_settings(folder: &Folder, server: &ModelServer) {
     let hash = identity::format_hash(&identity::hash_secret(
-        identity::split_key(&key()).unwrap().1,
+        identity::split_key(&key()).unwrap().secret,
     ));
     let edge = "keys = \"keys.toml\"\nterms = [\"2020-01-01\"]\n\
         [[model]]\nname = \"hint\"\nwindow = 4000\nmax_answer = 100\nclass = \"hint\"\n\
--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -79,7 +79,7 @@
         .filter_map(|l| l.strip_prefix("path = \"")?.strip_suffix('"'));
     let entry = |path: &str| {
         let key = key(path);
-        let (id, secret) = identity::split_key(&key).unwrap();
+        let identity::KeyParts { id, secret } = identity::split_key(&key).unwrap();
         format!(
             "[[key]]\nid = \"{id}\"\nnode = \"{path}\"\nhash = \"{}\"\n",
             identity::format_hash(&identity::hash_secret(secret))
--- a/tests/edge_load.rs
+++ b/tests/edge_load.rs
@@ -45,7 +45,7 @@
             "[[node]]\npath = \"d/{school}\"\nbudgets = [{{ per = \"term\", tokens = {tokens} }}]\n"
         ));
         let hash = identity::format_hash(&identity::hash_secret(
-            identity::split_key(&key(school)).unwrap().1,
+            identity::split_key(&key(school)).unwrap().secret,
         ));
         keys.push_str(&format!(
             "[[key]]\nid = \"{school}\"\nnode = \"d/{school}\"\nhash = \"{hash}\"\n"
