--- a/src/edge/config.rs
+++ b/src/edge/config.rs
@@ -13,7 +13,7 @@
 use crate::config::{ConfigError, read_file};
 use crate::identity::{self, ApiKeys};
 use crate::interface::Dur;
-use crate::routing::{Catalog, CatalogError, ModelNumbers, ModelSpec, Named};
+use crate::routing::{AliasSpec, Catalog, CatalogError, ModelNumbers, ModelSpec, PriceSpec};
 use crate::spend::{
     Budget, BudgetLimit, BudgetNode, BudgetTree, MAX_BUDGET_TOKENS, MAX_DEPTH, MicroTokens, Period,
     PeriodLength, Price,
@@ -452,29 +452,29 @@
             }
         };
         let specs: Vec<ModelSpec> = raw.model.iter().map(spec).collect();
-        let alias = |a: &Spanned<RawAlias>| Named {
+        let alias = |a: &Spanned<RawAlias>| AliasSpec {
             name: a.get_ref().name.clone(),
-            value: a.get_ref().model.clone(),
+            model: a.get_ref().model.clone(),
         };
-        let aliases: Vec<Named<String>> = raw.alias.iter().map(alias).collect();
+        let aliases: Vec<AliasSpec> = raw.alias.iter().map(alias).collect();
         let price = |p: &Spanned<RawPrice>| {
             let p = p.get_ref();
-            Named {
-                name: p.model.clone(),
-                value: Price {
+            PriceSpec {
+                model: p.model.clone(),
+                price: Price {
                     per_prompt_token: MicroTokens::new(p.prompt),
                     per_output_token: MicroTokens::new(p.answer),
                 },
             }
         };
-        let prices: Vec<Named<Price>> = raw.price.iter().map(price).collect();
+        let prices: Vec<PriceSpec> = raw.price.iter().map(price).collect();
         if specs.is_empty() {
             return Err(self.wrong(0..0, "no [[model]]"));
         }
         Catalog::build(&specs, &aliases, &prices, numbers).map_err(|fault| match fault {
-            CatalogError::Model(k, what) => self.wrong(raw.model[k].span(), what),
-            CatalogError::Alias(k, what) => self.wrong(raw.alias[k].span(), what),
-            CatalogError::Price(k, what) => self.wrong(raw.price[k].span(), what),
+            CatalogError::Model { index, problem } => self.wrong(raw.model[index].span(), problem),
+            CatalogError::Alias { index, problem } => self.wrong(raw.alias[index].span(), problem),
+            CatalogError::Price { index, problem } => self.wrong(raw.price[index].span(), problem),
         })
     }
 
--- a/src/edge/members.rs
+++ b/src/edge/members.rs
@@ -21,6 +21,7 @@
 use crate::net::http::Buffer;
 use crate::net::http::read_response;
 use crate::net::stream::Stream;
+use crate::routing::ReportOutcome;
 
 /// A host that has not told its models by then is asked again later.
 const PATIENCE: Duration = Duration::from_secs(2);
@@ -138,19 +139,19 @@
         known.asking = false;
         let names = told.names?;
         let mut state = self.state();
-        let (news, differ) = state
+        let outcome = state
             .inventory
             .record_report(told.replica, told.started, names);
-        if let Some(differ) = differ {
+        let ReportOutcome::Changed { mismatch } = outcome else {
+            return None;
+        };
+        if let Some(differ) = mismatch {
             let (missing, unlisted) = (differ.missing.join(" "), differ.unlisted.join(" "));
             warn!(
                 "{}: the list and the server differ, the server is believed: it lacks [{missing}] and has [{unlisted}]",
                 known.host.name
             );
         }
-        if !news {
-            return None;
-        }
         let catalogs = state.catalogs();
         state.inventory.recount_hosts(&catalogs);
         known.host.entry.models = state.inventory.servable_models(told.replica, &catalogs);
--- a/src/routing/first_token_estimates.rs
+++ b/src/routing/first_token_estimates.rs
@@ -1,130 +1,114 @@
-//! How long each model takes from a leg's start to its first token: a line over the prompt's length
-//! and its deviation, from what was measured lately.
+//! Estimates of how long each model takes from a submission to its first token: a line over the
+//! length of the prompt, and a margin above it, from recent measurements.
 
 use rustc_hash::FxHashMap;
 
 use crate::interface::{Dur, Time};
 use crate::policy::{LinearFit, LinearModel};
 
-/// Weight of a new sample: about the last 16 count.
-const NEW: f64 = 1.0 / 16.0;
-/// A need is the line and so many mean deviations above it (as RFC 6298 has it for retransmission
-/// times).
-const DEVIATIONS: f64 = 4.0;
-/// What was measured fades to a part of 1/e in so long. Guards against a model that is never tried
-/// again because it once was slow.
-const FADE: f64 = 20.0;
+/// The weight of a new sample: about the last 16 count.
+const SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
+/// An estimate is the line and so many mean deviations above it, as RFC 6298 has it for
+/// retransmission timeouts.
+const MARGIN_DEVIATIONS: f64 = 4.0;
+/// The seconds in which an estimate decays to 1/e without new samples. Guards against a model that
+/// is never tried again because it once was slow.
+const DECAY_SECONDS: f64 = 20.0;
 
-#[derive(Clone, Copy, Debug, Default)]
-struct Need {
+/// The measurements of a model.
+#[derive(Clone, Copy, Debug)]
+struct Measurements {
     fit: LinearFit,
-    mid: f64,
+    /// The recent mean length of the prompts, in tokens.
+    mean_prompt_tokens: f64,
     line: LinearModel,
-    deviation: f64,
-    at: Time,
-    seen: bool,
+    /// The recent mean distance of a sample from the line, in seconds.
+    mean_deviation: f64,
+    /// When the last sample was recorded.
+    updated_at: Time,
 }
 
-/// The needs of all models, by their numbers.
+impl Measurements {
+    /// The measurements with one sample: a constant line, and half the sample as its deviation.
+    fn first(prompt_tokens: f64, seconds: f64, now: Time) -> Measurements {
+        let mut measurements = Measurements {
+            fit: LinearFit::default(),
+            mean_prompt_tokens: prompt_tokens.max(1.0),
+            line: LinearModel {
+                seconds_per_token: 0.0,
+                base_seconds: seconds,
+            },
+            mean_deviation: seconds / 2.0,
+            updated_at: now,
+        };
+        measurements.fit_line(prompt_tokens, seconds);
+        measurements
+    }
+
+    fn record(&mut self, prompt_tokens: f64, seconds: f64, now: Time) {
+        let deviation = (seconds - self.line.seconds(prompt_tokens)).abs();
+        self.mean_deviation += (deviation - self.mean_deviation) * SAMPLE_WEIGHT;
+        self.mean_prompt_tokens += (prompt_tokens - self.mean_prompt_tokens) * SAMPLE_WEIGHT;
+        self.updated_at = now;
+        self.fit_line(prompt_tokens, seconds);
+    }
+
+    fn fit_line(&mut self, prompt_tokens: f64, seconds: f64) {
+        self.fit.record(prompt_tokens, seconds, SAMPLE_WEIGHT);
+        self.line = self.fit.model(self.line, self.mean_prompt_tokens);
+    }
+
+    fn estimate(&self, prompt_tokens: f64, now: Time) -> Dur {
+        let decay = (-(now - self.updated_at).secs() / DECAY_SECONDS).exp();
+        let margin = MARGIN_DEVIATIONS * self.mean_deviation;
+        Dur::from_secs((self.line.seconds(prompt_tokens) + margin) * decay)
+    }
+}
+
+/// The estimates of all models, by their numbers. The number of models bounds its size.
 #[derive(Clone, Debug, Default)]
 pub struct FirstTokenEstimates {
-    all: FxHashMap<u32, Need>,
-    first: Dur,
+    by_model: FxHashMap<u32, Measurements>,
+    /// The estimate of a model without measurements.
+    initial: Dur,
 }
 
 impl FirstTokenEstimates {
-    /// Nothing measured yet: until then `first` stands in, the classes' shortest first-token aim.
-    pub fn new(first: Dur) -> FirstTokenEstimates {
+    /// Estimates without measurements. Until a model has been measured `initial` stands in for it:
+    /// the shortest first-token objective of the service classes.
+    pub fn new(initial: Dur) -> FirstTokenEstimates {
         FirstTokenEstimates {
-            all: FxHashMap::default(),
-            first,
+            by_model: FxHashMap::default(),
+            initial,
         }
     }
 
-    /// A first token came `took` after its leg's start.
-    pub fn record(&mut self, model: u32, prompt: u32, took: Dur, now: Time) {
-        // bounded by the models' numbers
-        let need = self.all.entry(model).or_default();
-        let (x, y) = (f64::from(prompt), took.secs());
-        if need.seen {
-            need.deviation += ((y - need.line.seconds(x)).abs() - need.deviation) * NEW;
-            need.mid += (x - need.mid) * NEW;
-        } else {
-            (need.deviation, need.mid) = (y / 2.0, x.max(1.0));
-        }
-        let prior = if need.seen {
-            need.line
-        } else {
-            LinearModel {
-                seconds_per_token: 0.0,
-                base_seconds: y,
-            }
-        };
-        need.fit.record(x, y, NEW);
-        need.line = need.fit.model(prior, need.mid);
-        (need.at, need.seen) = (now, true);
+    /// Records that the first token came `elapsed` after the submission.
+    pub fn record(&mut self, model: u32, prompt_tokens: u32, elapsed: Dur, now: Time) {
+        let prompt_tokens = f64::from(prompt_tokens);
+        let seconds = elapsed.secs();
+        self.by_model
+            .entry(model)
+            .and_modify(|measured| measured.record(prompt_tokens, seconds, now))
+            .or_insert_with(|| Measurements::first(prompt_tokens, seconds, now));
     }
 
-    /// A leg ended without a first token after so long, though servers had it: the need is at least
-    /// that.
-    pub fn record_unanswered(&mut self, model: u32, prompt: u32, waited: Dur, now: Time) {
-        if self.estimate(model, prompt, now) < waited {
-            self.record(model, prompt, waited, now);
+    /// Records that a submission ended after `waited` without a first token, though servers had
+    /// received it: the model needs at least that long.
+    pub fn record_unanswered(&mut self, model: u32, prompt_tokens: u32, waited: Dur, now: Time) {
+        if self.estimate(model, prompt_tokens, now) < waited {
+            self.record(model, prompt_tokens, waited, now);
         }
     }
 
-    /// The time that a model needs for its first token.
-    pub fn estimate(&self, model: u32, prompt: u32, now: Time) -> Dur {
-        let Some(need) = self.all.get(&model).filter(|n| n.seen) else {
-            return self.first;
-        };
-        let keep = (-(now - need.at).secs() / FADE).exp();
-        let now = need.line.seconds(f64::from(prompt)) + DEVIATIONS * need.deviation;
-        Dur::from_secs(now * keep)
+    /// The time that a model is likely to need at most for its first token.
+    pub fn estimate(&self, model: u32, prompt_tokens: u32, now: Time) -> Dur {
+        match self.by_model.get(&model) {
+            Some(measured) => measured.estimate(f64::from(prompt_tokens), now),
+            None => self.initial,
+        }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_need_follows_what_was_measured_and_fades() {
-        let mut estimates = FirstTokenEstimates::new(Dur(400_000));
-        assert_eq!(estimates.estimate(0, 100, Time(0)), Dur(400_000));
-        for k in 0..200 {
-            let prompt = 100 + 10 * (k % 50);
-            estimates.record(
-                0,
-                prompt,
-                Dur(50_000 + 100 * u64::from(prompt)),
-                Time(u64::from(k) * 1000),
-            );
-        }
-        let at = Time(200_000);
-        let (short, long) = (
-            estimates.estimate(0, 100, at).secs(),
-            estimates.estimate(0, 600, at).secs(),
-        );
-        assert!(
-            (0.055..0.09).contains(&short) && (0.105..0.14).contains(&long),
-            "{short} {long}"
-        );
-        // the other model is none of its business, and an old measure fades
-        assert_eq!(estimates.estimate(1, 100, at), Dur(400_000));
-        assert!(estimates.estimate(0, 600, Time(60_000_000)).secs() < long / 10.0);
-    }
-
-    #[test]
-    fn what_never_comes_raises_the_need() {
-        let mut estimates = FirstTokenEstimates::new(Dur(100_000));
-        for k in 0..40 {
-            estimates.record_unanswered(0, 100, Dur(900_000), Time(k * 1000));
-        }
-        assert!(estimates.estimate(0, 100, Time(40_000)) >= Dur(800_000));
-        // a wait shorter than the need tells nothing
-        let before = estimates.estimate(0, 100, Time(40_000));
-        estimates.record_unanswered(0, 100, Dur(10_000), Time(40_000));
-        assert_eq!(estimates.estimate(0, 100, Time(40_000)), before);
-    }
-}
+mod tests;
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,36 +1,40 @@
-//! Routing: which model an RPC goes to, and which is next.
+//! Routing: which model a chat request goes to, and which is next.
 //!
-//! A [`Catalog`] names the models, their adapters, aliases and fallback chains, and is checked
-//! whole. [`ModelInventory`] knows which host has what, from the list and from the hosts themselves.
-//! [`FirstTokenEstimates`] measures how long each model takes to its first token. A [`Route`] takes one RPC along
-//! its model's chain: one leg at a time, each a submission to the decision module.
+//! A [`Catalog`] has the models, their adapters, aliases and fallback chains, and is validated
+//! completely. A [`ModelInventory`] knows which host has which models, from the endpoint list and
+//! from the hosts themselves. [`FirstTokenEstimates`] measures how long each model takes to its
+//! first token. A [`Route`] takes one request along the fallback chain of its model: one
+//! [`Submission`] to the decision module at a time.
 //!
-//! **What it promises.** Over all legs of an RPC no more call attempts than allowed, no leg beside
-//! another, one deadline that shrinks by the time spent; no model whose window does not hold the
-//! prompt, and none that the asker may not use; the chain and price that a route began with stay
-//! its own over a reload.
+//! All submissions of a request together have no more call attempts than are allowed, no two of
+//! them run at once, and one deadline holds for all of them. A route never uses a model whose
+//! context window does not hold the prompt, or one that the caller may not use. A route keeps the
+//! chain and the prices that it began with over a reload.
 //!
-//! **What it never does.** No I/O, no clock: time is a value. It does not pick a server, does not
-//! decide whether an attempt of a leg is made again, and turns nothing away that the module would
-//! serve: those stay with [`Balancer`](crate::Balancer).
+//! The module does no I/O and reads no clock: time is a value. It does not choose the server of a
+//! submission, does not retry an attempt within one, and rejects nothing that the decision module
+//! would serve: those stay with [`Balancer`](crate::Balancer).
 
 mod catalog;
 mod first_token_estimates;
 mod model_inventory;
 mod route;
 
-pub use catalog::{Catalog, CatalogError, Model, ModelNumbers, ModelSpec, Named};
+pub use catalog::{
+    AliasProblem, AliasSpec, Catalog, CatalogError, Model, ModelNumbers, ModelProblem, ModelSpec,
+    PriceProblem, PriceSpec,
+};
 pub use first_token_estimates::FirstTokenEstimates;
-pub use model_inventory::{InventoryMismatch, ModelInventory};
+pub use model_inventory::{InventoryMismatch, ModelInventory, ReportOutcome};
 pub use route::{
     ChatQuery, Route, RouteError, RouteExhausted, RouteStep, Submission, SubmissionEnd,
 };
 
-/// Models at the most, adapters too.
+/// The most models of a catalog, adapters included.
 pub const MAX_MODELS: usize = 1024;
-/// Aliases at the most.
+/// The most aliases of a catalog.
 pub const MAX_ALIASES: usize = 1024;
-/// Names that models had over all reloads, at the most.
+/// The most names that the models may have over all reloads.
 pub const MAX_MODEL_NUMBERS: u32 = 16_384;
-/// Models of a chain at the most, the preferred one too.
+/// The most models of a fallback chain, the preferred one included.
 pub const MAX_FALLBACK_CHAIN: usize = 8;
--- a/src/routing/model_inventory.rs
+++ b/src/routing/model_inventory.rs
@@ -1,4 +1,5 @@
-//! Which host has which models: as the list names them and as the hosts tell, who are believed.
+//! The inventory of models: which host has which, by the endpoint list and by the hosts' own
+//! reports, which take precedence.
 
 use std::sync::Arc;
 
@@ -7,245 +8,189 @@
 use super::Catalog;
 use crate::interface::{Dur, Models, ReplicaId, State, Time};
 
-/// Models that a host's word may hold; the rest of a longer one is not read.
+/// The most models of one report; the rest of a longer one is ignored.
 const MAX_REPORTED_MODELS: usize = 4096;
 
-/// The list and a host differ in what it has.
+/// The difference between the endpoint list and the report of a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InventoryMismatch {
-    /// Models of the list that the host does not tell of.
+    /// Models that are listed and not reported.
     pub missing: Vec<String>,
-    /// Models that it tells of and the list does not name.
+    /// Models that are reported and not listed.
     pub unlisted: Vec<String>,
 }
 
+impl InventoryMismatch {
+    /// The difference; none where there is no difference.
+    fn between(listed: &[String], reported: &[String]) -> Option<InventoryMismatch> {
+        let mismatch = InventoryMismatch {
+            missing: difference(listed, reported),
+            unlisted: difference(reported, listed),
+        };
+        let is_empty = mismatch.missing.is_empty() && mismatch.unlisted.is_empty();
+        (!is_empty).then_some(mismatch)
+    }
+}
+
+/// The names that are in the first list and not in the second.
+fn difference(names: &[String], without: &[String]) -> Vec<String> {
+    names
+        .iter()
+        .filter(|name| !without.contains(name))
+        .cloned()
+        .collect()
+}
+
+/// What the report of a host changed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ReportOutcome {
+    /// Nothing: it repeats the last report, or is from an earlier start of the host.
+    Unchanged,
+    /// The inventory of the host.
+    Changed {
+        /// How the report differs from the endpoint list, where that names models and they differ.
+        mismatch: Option<InventoryMismatch>,
+    },
+}
+
+/// The models of one host, by their names.
 struct HostModels {
     state: State,
-    started: Time,
+    /// When the host was last started.
+    started_at: Time,
+    /// The models that the endpoint list names; none where it names none.
     listed: Option<Vec<String>>,
+    /// The models that the host has reported since its start, sorted; none before its first report.
     reported: Option<Vec<String>>,
 }
 
-/// What all hosts have.
+/// The models of all hosts.
 #[derive(Default)]
 pub struct ModelInventory {
     hosts: FxHashMap<ReplicaId, HostModels>,
-    /// Hosts in service that have each model, loaded or not, by its number.
-    counts: FxHashMap<u32, u32>,
+    /// The number of hosts in service that have a model, loaded or not, by the model's number.
+    host_counts: FxHashMap<u32, u32>,
 }
 
 impl ModelInventory {
-    /// A host as the list has it now. What a host told before it started anew is forgotten: it may
-    /// have lost what it had loaded.
+    /// Sets what the endpoint list says of a host. A host that has been started again may have lost
+    /// the models that it had loaded, so its reports from before are dropped.
     pub fn set_listed(
         &mut self,
         replica: ReplicaId,
         state: State,
-        started: Time,
+        started_at: Time,
         models: Option<&[String]>,
     ) {
+        let previous = self.hosts.remove(&replica);
         if state == State::Terminated {
-            self.hosts.remove(&replica);
             return;
         }
-        let listed = models.map(<[String]>::to_vec);
-        let reported = self
-            .hosts
-            .remove(&replica)
-            .filter(|h| h.started == started)
-            .and_then(|h| h.reported);
-        self.hosts.insert(
-            replica,
-            HostModels {
-                state,
-                started,
-                listed,
-                reported,
-            },
-        );
+        let same_start = previous.filter(|host| host.started_at == started_at);
+        let host = HostModels {
+            state,
+            started_at,
+            listed: models.map(<[String]>::to_vec),
+            reported: same_start.and_then(|host| host.reported),
+        };
+        self.hosts.insert(replica, host);
     }
 
-    /// Only these hosts are left.
-    pub fn retain(&mut self, keep: impl Fn(ReplicaId) -> bool) {
-        self.hosts.retain(|id, _| keep(*id));
+    /// Removes all hosts except these.
+    pub fn retain(&mut self, is_kept: impl Fn(ReplicaId) -> bool) {
+        self.hosts.retain(|id, _| is_kept(*id));
     }
 
-    /// What a host tells of itself, as of its start at `started`. Whether that is news, and how it
-    /// differs from the list, where that is news.
+    /// Records the models that a host reports. `started_at` is the start of the host that the
+    /// report was requested of.
     pub fn record_report(
         &mut self,
         replica: ReplicaId,
-        started: Time,
+        started_at: Time,
         mut names: Vec<String>,
-    ) -> (bool, Option<InventoryMismatch>) {
-        let Some(host) = self
-            .hosts
-            .get_mut(&replica)
-            .filter(|h| h.started == started)
-        else {
-            return (false, None);
+    ) -> ReportOutcome {
+        let host = self.hosts.get_mut(&replica);
+        let Some(host) = host.filter(|host| host.started_at == started_at) else {
+            return ReportOutcome::Unchanged;
         };
         names.truncate(MAX_REPORTED_MODELS);
         names.sort_unstable();
         names.dedup();
         if host.reported.as_ref() == Some(&names) {
-            return (false, None);
+            return ReportOutcome::Unchanged;
         }
-        let differ = host.listed.as_ref().and_then(|listed| {
-            let without = |a: &[String], b: &[String]| -> Vec<String> {
-                a.iter().filter(|n| !b.contains(n)).cloned().collect()
-            };
-            let (missing, unlisted) = (without(listed, &names), without(&names, listed));
-            (!missing.is_empty() || !unlisted.is_empty())
-                .then_some(InventoryMismatch { missing, unlisted })
-        });
+        let listed = host.listed.as_ref();
+        let mismatch = listed.and_then(|listed| InventoryMismatch::between(listed, &names));
         host.reported = Some(names);
-        (true, differ)
+        ReportOutcome::Changed { mismatch }
     }
 
-    /// What a host serves of these catalogs (the one in force, and those that something under way
-    /// still goes by), for the decision module. A host of which nothing is known is taken to have
-    /// every base model.
+    /// The models of these catalogs (the one in force, and those that requests in flight still use)
+    /// that a host serves, for the decision module. A host of which nothing is known is taken to
+    /// have every base model.
     pub fn servable_models(&self, replica: ReplicaId, catalogs: &[Arc<Catalog>]) -> Models {
-        let Some(host) = self.hosts.get(&replica) else {
-            return Models::only([]);
-        };
-        Models::only(catalogs.iter().flat_map(|c| host.has(c)))
+        match self.hosts.get(&replica) {
+            Some(host) => Models::only(catalogs.iter().flat_map(|c| host.load_times(c))),
+            None => Models::only([]),
+        }
     }
 
-    /// Counts anew who has what. To be called after news, ahead of [`ModelInventory::host_count`].
+    /// Counts the hosts of each model again. It must be called after each change, before
+    /// [`ModelInventory::host_count`].
     pub fn recount_hosts(&mut self, catalogs: &[Arc<Catalog>]) {
-        self.counts.clear();
-        for host in self.hosts.values().filter(|h| h.state == State::InService) {
-            let mut numbers: Vec<u32> = catalogs
-                .iter()
-                .flat_map(|c| host.has(c))
-                .map(|m| m.0)
-                .collect();
+        self.host_counts.clear();
+        for host in self.hosts.values() {
+            if host.state != State::InService {
+                continue;
+            }
+            let models = catalogs.iter().flat_map(|c| host.load_times(c));
+            let mut numbers: Vec<u32> = models.map(|(number, _)| number).collect();
             numbers.sort_unstable();
             numbers.dedup();
             for number in numbers {
-                *self.counts.entry(number).or_default() += 1;
+                *self.host_counts.entry(number).or_default() += 1;
             }
         }
     }
 
-    /// Hosts in service that have the model of a number.
-    pub fn host_count(&self, number: u32) -> u32 {
-        self.counts.get(&number).copied().unwrap_or(0)
+    /// The number of hosts in service that have the model with this number.
+    pub fn host_count(&self, model: u32) -> u32 {
+        self.host_counts.get(&model).copied().unwrap_or(0)
     }
 }
 
 impl HostModels {
-    /// The numbers of the models that it has, each with its time to load.
-    fn has<'a>(&'a self, catalog: &'a Catalog) -> impl Iterator<Item = (u32, Dur)> + 'a {
-        let names = self.reported.as_ref().or(self.listed.as_ref());
-        let named = move |at: usize| names.is_none_or(|n| n.contains(&catalog.model(at).name));
-        catalog
-            .models()
-            .iter()
-            .enumerate()
-            .filter_map(move |(at, model)| match model.base {
-                // where nothing is known adapters are taken to be unloaded
-                Some(base) if names.is_none() || !named(at) => {
-                    named(base).then_some((model.number, model.load_time))
-                }
-                _ => named(at).then_some((model.number, Dur(0))),
-            })
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::super::{ModelNumbers, ModelSpec, Named};
-    use super::*;
-
-    fn catalog() -> [Arc<Catalog>; 1] {
-        let spec = |name: &str, base: Option<&str>| ModelSpec {
-            name: name.into(),
-            base: base.map(String::from),
-            load_time: Dur(if base.is_some() { 800_000 } else { 0 }),
-            context_window: 100,
-            max_output_tokens: 10,
-            ..ModelSpec::default()
-        };
-        let specs = [
-            spec("small", None),
-            spec("large", None),
-            spec("maths", Some("small")),
-        ];
-        let alias = Named {
-            name: "mark".into(),
-            value: "large".into(),
-        };
-        [Arc::new(
-            Catalog::build(&specs, &[alias], &[], &mut ModelNumbers::default()).unwrap(),
-        )]
+    /// The numbers of the models that the host serves, each with the time to load it: zero where it
+    /// is loaded.
+    fn load_times<'a>(&'a self, catalog: &'a Catalog) -> impl Iterator<Item = (u32, Dur)> + 'a {
+        catalog.models().iter().filter_map(|model| {
+            let load_time = match model.base {
+                Some(base) if !self.has_adapter(&model.name) => self
+                    .has_model(&catalog.model(base).name)
+                    .then_some(model.load_time),
+                _ => self.has_model(&model.name).then_some(Dur(0)),
+            };
+            Some((model.number, load_time?))
+        })
     }
 
-    fn names(names: &[&str]) -> Vec<String> {
-        names.iter().map(|n| n.to_string()).collect()
+    /// The models that the host has as far as is known.
+    fn known_models(&self) -> Option<&Vec<String>> {
+        self.reported.as_ref().or(self.listed.as_ref())
     }
 
-    #[test]
-    fn the_host_is_believed_and_a_difference_reported() {
-        let (catalog, id) = (catalog(), ReplicaId(7));
-        let mut inventory = ModelInventory::default();
-        inventory.set_listed(
-            id,
-            State::InService,
-            Time(5),
-            Some(&names(&["small", "large"])),
-        );
-        let models = inventory.servable_models(id, &catalog);
-        assert_eq!(
-            [1, 2, 3].map(|m| models.ready_in(m)),
-            [Some(Dur(0)), Some(Dur(0)), Some(Dur(800_000))]
-        );
-        let (news, differ) = inventory.record_report(id, Time(5), names(&["small", "maths"]));
-        let differ = differ.unwrap();
-        assert!(news && differ.missing == ["large"] && differ.unlisted == ["maths"]);
-        let models = inventory.servable_models(id, &catalog);
-        assert_eq!(
-            [1, 2, 3].map(|m| models.ready_in(m)),
-            [Some(Dur(0)), None, Some(Dur(0))]
-        );
-        assert_eq!(
-            inventory.record_report(id, Time(5), names(&["maths", "small"])),
-            (false, None)
-        );
-        // a new start: what was told is forgotten, and a late word of the old one is not heard
-        inventory.set_listed(id, State::InService, Time(9), Some(&names(&["small"])));
-        assert_eq!(
-            inventory.record_report(id, Time(5), names(&["large"])),
-            (false, None)
-        );
-        assert_eq!(
-            inventory.servable_models(id, &catalog).ready_in(3),
-            Some(Dur(800_000))
-        );
+    /// Whether the host has a base model. Where nothing is known it is taken to have it.
+    fn has_model(&self, name: &String) -> bool {
+        self.known_models()
+            .is_none_or(|models| models.contains(name))
     }
 
-    #[test]
-    fn only_hosts_in_service_count() {
-        let (catalog, mut inventory) = (catalog(), ModelInventory::default());
-        inventory.set_listed(
-            ReplicaId(1),
-            State::InService,
-            Time(0),
-            Some(&names(&["small"])),
-        );
-        inventory.set_listed(
-            ReplicaId(2),
-            State::Terminating,
-            Time(0),
-            Some(&names(&["large"])),
-        );
-        inventory.set_listed(ReplicaId(3), State::InService, Time(0), None);
-        inventory.recount_hosts(&catalog);
-        assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [2, 1, 2]);
-        inventory.set_listed(ReplicaId(3), State::Terminated, Time(0), None);
-        inventory.recount_hosts(&catalog);
-        assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [1, 0, 1]);
+    /// Whether the host has loaded an adapter. Where nothing is known it is taken not to have.
+    fn has_adapter(&self, name: &String) -> bool {
+        self.known_models()
+            .is_some_and(|models| models.contains(name))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/routing/model_inventory/tests.rs
@@ -0,0 +1,99 @@
+use super::*;
+use crate::routing::{AliasSpec, ModelNumbers, ModelSpec};
+
+fn catalog() -> [Arc<Catalog>; 1] {
+    let spec = |name: &str, base: Option<&str>| ModelSpec {
+        name: name.into(),
+        base: base.map(String::from),
+        load_time: Dur(if base.is_some() { 800_000 } else { 0 }),
+        context_window: 100,
+        max_output_tokens: 10,
+        ..ModelSpec::default()
+    };
+    let specs = [
+        spec("small", None),
+        spec("large", None),
+        spec("maths", Some("small")),
+    ];
+    let alias = AliasSpec {
+        name: "mark".into(),
+        model: "large".into(),
+    };
+    [Arc::new(
+        Catalog::build(&specs, &[alias], &[], &mut ModelNumbers::default()).unwrap(),
+    )]
+}
+
+fn names(names: &[&str]) -> Vec<String> {
+    names.iter().map(|n| n.to_string()).collect()
+}
+
+#[test]
+fn the_host_is_believed_and_a_difference_reported() {
+    let (catalog, id) = (catalog(), ReplicaId(7));
+    let mut inventory = ModelInventory::default();
+    inventory.set_listed(
+        id,
+        State::InService,
+        Time(5),
+        Some(&names(&["small", "large"])),
+    );
+    let models = inventory.servable_models(id, &catalog);
+    assert_eq!(
+        [1, 2, 3].map(|m| models.ready_in(m)),
+        [Some(Dur(0)), Some(Dur(0)), Some(Dur(800_000))]
+    );
+    let outcome = inventory.record_report(id, Time(5), names(&["small", "maths"]));
+    let mismatch = InventoryMismatch {
+        missing: names(&["large"]),
+        unlisted: names(&["maths"]),
+    };
+    assert_eq!(
+        outcome,
+        ReportOutcome::Changed {
+            mismatch: Some(mismatch)
+        }
+    );
+    let models = inventory.servable_models(id, &catalog);
+    assert_eq!(
+        [1, 2, 3].map(|m| models.ready_in(m)),
+        [Some(Dur(0)), None, Some(Dur(0))]
+    );
+    assert_eq!(
+        inventory.record_report(id, Time(5), names(&["maths", "small"])),
+        ReportOutcome::Unchanged
+    );
+    // a new start: what was told is forgotten, and a late word of the old one is not heard
+    inventory.set_listed(id, State::InService, Time(9), Some(&names(&["small"])));
+    assert_eq!(
+        inventory.record_report(id, Time(5), names(&["large"])),
+        ReportOutcome::Unchanged
+    );
+    assert_eq!(
+        inventory.servable_models(id, &catalog).ready_in(3),
+        Some(Dur(800_000))
+    );
+}
+
+#[test]
+fn only_hosts_in_service_count() {
+    let (catalog, mut inventory) = (catalog(), ModelInventory::default());
+    inventory.set_listed(
+        ReplicaId(1),
+        State::InService,
+        Time(0),
+        Some(&names(&["small"])),
+    );
+    inventory.set_listed(
+        ReplicaId(2),
+        State::Terminating,
+        Time(0),
+        Some(&names(&["large"])),
+    );
+    inventory.set_listed(ReplicaId(3), State::InService, Time(0), None);
+    inventory.recount_hosts(&catalog);
+    assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [2, 1, 2]);
+    inventory.set_listed(ReplicaId(3), State::Terminated, Time(0), None);
+    inventory.recount_hosts(&catalog);
+    assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [1, 0, 1]);
+}
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -1,120 +1,68 @@
-//! One RPC's way along its model's chain.
+//! The way of one request along the fallback chain of its model.
+
+mod query;
+mod step;
 
 use std::sync::Arc;
 
 use super::{Catalog, FirstTokenEstimates, ModelInventory};
 use crate::interface::{Dur, Time};
 
-/// What is asked for.
-#[derive(Clone, Debug)]
-pub struct ChatQuery {
-    /// The model, by its place in the catalog.
-    pub model: usize,
-    /// Prompt tokens.
-    pub prompt_tokens: u32,
-    /// The most tokens of an answer, where the client tells.
-    pub max_output_tokens: Option<u32>,
-    /// When its client stops waiting for a first token.
-    pub expires_at: Time,
-    /// Call attempts that it may have over all models.
-    pub max_attempts: u32,
-    /// A repeat is harmless even where an attempt may have run.
-    pub idempotent: bool,
-}
-
-/// Why an RPC has no route at all.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RouteError {
-    /// The asker may not use the model.
-    ModelForbidden,
-    /// The model's window doesn't hold the prompt.
-    PromptTooLong {
-        /// Tokens that the window holds.
-        context_window: u32,
-    },
+pub use query::{ChatQuery, RouteError};
+pub use step::{RouteExhausted, RouteStep, Submission, SubmissionEnd};
+
+/// A model of the route's chain.
+#[derive(Clone, Copy, Debug)]
+struct ChainModel {
+    /// The index of the model in the catalog.
+    model: usize,
+    max_output_tokens: u32,
+    /// Whether the model had its submission.
+    is_tried: bool,
 }
 
-/// A submission to the decision module.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Submission {
-    /// The model, by its place in the catalog.
-    pub model: usize,
-    /// The most tokens of its answer.
-    pub max_output_tokens: u32,
-    /// Call attempts that it can't have: earlier legs had them, or they are kept back for a later
-    /// one.
-    pub unavailable_attempts: u32,
-    /// When it ends unless a first token has come.
-    pub deadline: Time,
+/// A model that the next submission can go to.
+#[derive(Clone, Copy, Debug)]
+struct Candidate {
+    /// The position of the model in the route's chain.
+    position: usize,
+    /// The time that the model is estimated to need for its first token.
+    first_token_time: Dur,
 }
 
-/// How a leg ended without an answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SubmissionEnd {
-    /// Call attempts that it had.
-    pub attempts: u32,
-    /// Some attempt reached a server, and may have run.
-    pub forwarded: bool,
-    /// It was declined, and told to come back then.
-    pub retry_after: Option<Dur>,
-    /// It was declined rather than failed.
-    pub rejected: bool,
+/// The submission that has not ended.
+#[derive(Clone, Copy, Debug)]
+struct PendingSubmission {
+    /// The index of the model in the catalog.
+    model: usize,
+    submitted_at: Time,
 }
 
-/// Why there is no further leg.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RouteExhausted {
-    /// A repeat is harmless.
-    pub rejected: bool,
-    /// Call attempts over all legs.
-    pub attempts: u32,
-    /// When to come back, where some leg told: the soonest, as any model of the chain will do.
-    pub retry_after: Option<Dur>,
-    /// No model of the chain had a host.
-    pub no_host: bool,
-}
-
-/// What comes next.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RouteStep {
-    /// This leg.
-    Submit(Submission),
-    /// Nothing.
-    Exhausted(RouteExhausted),
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Tried {
-    No,
-    /// Passed over: for want of a host, or of time.
-    Passed,
-    Yes,
-}
-
-/// An RPC on its way. It keeps the catalog that it began with.
+/// The route of one request. It keeps the catalog that it began with.
 #[derive(Clone, Debug)]
 pub struct Route {
     catalog: Arc<Catalog>,
     query: ChatQuery,
-    /// The models that may be tried, in order.
-    chain: Vec<(usize, u32, Tried)>,
+    /// The models that can be tried, in the order of preference.
+    chain: Vec<ChainModel>,
+    /// The call attempts of the submissions that have ended.
     attempts: u32,
     may_have_run: bool,
-    failed: bool,
+    has_failed: bool,
     retry_after: Option<Dur>,
-    out: Option<(usize, Time)>,
+    pending: Option<PendingSubmission>,
 }
 
 impl Route {
-    /// A route along a model's chain, of those that the asker may use and whose window holds the
-    /// prompt.
+    /// A route along the fallback chain of a model. Models that the caller may not use, by
+    /// `is_allowed`, and models whose context window does not hold the prompt are left out.
     pub fn new(
         catalog: Arc<Catalog>,
         query: ChatQuery,
-        allowed: impl Fn(usize) -> bool,
+        is_allowed: impl Fn(usize) -> bool,
     ) -> Result<Route, RouteError> {
         let preferred = catalog.model(query.model);
-        if !allowed(query.model) {
+        if !is_allowed(query.model) {
             return Err(RouteError::ModelForbidden);
         }
         if preferred.max_output_for(query.prompt_tokens).is_none() {
@@ -122,148 +70,169 @@
                 context_window: preferred.context_window,
             });
         }
-        let chain = preferred
-            .fallback_chain
-            .iter()
-            .filter(|&&at| allowed(at))
-            .filter_map(|&at| {
-                let room = catalog.model(at).max_output_for(query.prompt_tokens)?;
-                Some((
-                    at,
-                    room.min(query.max_output_tokens.unwrap_or(u32::MAX)),
-                    Tried::No,
-                ))
-            });
-        let chain = chain.collect();
+        let mut chain = Vec::with_capacity(preferred.fallback_chain.len());
+        for &model in preferred.fallback_chain.iter().filter(|&&m| is_allowed(m)) {
+            let possible_output = catalog.model(model).max_output_for(query.prompt_tokens);
+            if let Some(possible_output) = possible_output {
+                let requested_output = query.max_output_tokens.unwrap_or(u32::MAX);
+                chain.push(ChainModel {
+                    model,
+                    max_output_tokens: possible_output.min(requested_output),
+                    is_tried: false,
+                });
+            }
+        }
         Ok(Route {
             catalog,
             query,
             chain,
             attempts: 0,
             may_have_run: false,
-            failed: false,
+            has_failed: false,
             retry_after: None,
-            out: None,
+            pending: None,
         })
     }
 
-    /// The catalog that it goes by.
+    /// The catalog that the route began with.
     pub fn catalog(&self) -> &Arc<Catalog> {
         &self.catalog
     }
 
-    /// The first leg, or the next once [`Route::submission_ended`] was told of the one before.
+    /// The first submission, or the next one. Must not be called while a submission is pending:
+    /// [`Route::submission_ended`] or [`Route::skip_submission`] comes first.
     pub fn next_step(
         &mut self,
         inventory: &ModelInventory,
         estimates: &FirstTokenEstimates,
         now: Time,
     ) -> RouteStep {
-        assert!(self.out.is_none(), "a leg is out: two would run at once");
-        let spent_up = self.attempts >= self.query.max_attempts;
-        let unsafe_again = self.may_have_run && !self.query.idempotent;
-        if spent_up || unsafe_again || now >= self.query.expires_at {
-            return self.give_up(false);
+        assert!(self.pending.is_none(), "two submissions would run at once");
+        let no_attempt_left = self.attempts >= self.query.max_attempts;
+        let must_not_repeat = self.may_have_run && !self.query.idempotent;
+        if no_attempt_left || must_not_repeat || now >= self.query.expires_at {
+            return self.exhausted(false);
         }
-        let left = self.query.expires_at - now;
-        let number = |at: usize| self.catalog.model(at).number;
-        let has_host = |at: usize| inventory.host_count(number(at)) > 0;
-        // a model passed over comes into question again: its hosts may be back
-        let open: Vec<usize> = (0..self.chain.len())
-            .filter(|&k| self.chain[k].2 != Tried::Yes && has_host(self.chain[k].0))
-            .collect();
-        let need =
-            |k: usize| estimates.estimate(number(self.chain[k].0), self.query.prompt_tokens, now);
-        let Some(&first) = open.first() else {
-            return self.give_up(self.chain.iter().all(|c| c.2 != Tried::Yes));
-        };
-        // the first that is ready in the time left; where none is, the preferred: the module may
-        // know better
-        let at = open
+        let candidates = self.candidates(inventory, estimates, now);
+        if candidates.is_empty() {
+            let none_tried = self.chain.iter().all(|entry| !entry.is_tried);
+            return self.exhausted(none_tried);
+        }
+        let remaining = self.query.expires_at - now;
+        // where no model is likely to answer in the remaining time, the preferred one is tried: the
+        // decision module may know better
+        let chosen = candidates
             .iter()
-            .copied()
-            .find(|&k| need(k) <= left)
-            .unwrap_or(first);
-        // time is kept back for the next only where both fit
-        let after = open.iter().copied().filter(|&k| k > at).map(need).min();
-        let kept = after
-            .filter(|&n| n.0.saturating_add(need(at).0) <= left.0)
-            .unwrap_or_default();
-        // an attempt is kept back for it too: guards against servers that fail fast and use all of
-        // them up
-        let others = open.iter().any(|&k| k > at);
-        let last = u32::from(others && self.query.max_attempts - self.attempts > 1);
-        for k in 0..at {
-            if self.chain[k].2 == Tried::No {
-                self.chain[k].2 = Tried::Passed;
+            .position(|candidate| candidate.first_token_time <= remaining)
+            .unwrap_or(0);
+        let later = &candidates[chosen + 1..];
+        self.submit(candidates[chosen], later, now)
+    }
+
+    /// The models that have not been tried and have hosts. A model without hosts becomes a
+    /// candidate again once its hosts are back.
+    fn candidates(
+        &self,
+        inventory: &ModelInventory,
+        estimates: &FirstTokenEstimates,
+        now: Time,
+    ) -> Vec<Candidate> {
+        let mut candidates = Vec::with_capacity(self.chain.len());
+        for (position, entry) in self.chain.iter().enumerate() {
+            let number = self.catalog.model(entry.model).number;
+            if entry.is_tried || inventory.host_count(number) == 0 {
+                continue;
             }
+            let first_token_time = estimates.estimate(number, self.query.prompt_tokens, now);
+            candidates.push(Candidate {
+                position,
+                first_token_time,
+            });
         }
-        let (model, cap, tried) = &mut self.chain[at];
-        *tried = Tried::Yes;
-        self.out = Some((*model, now));
-        let deadline = Time(self.query.expires_at.0 - kept.0);
+        candidates
+    }
+
+    /// The submission to a candidate. `later` are the candidates behind it in the chain.
+    fn submit(&mut self, candidate: Candidate, later: &[Candidate], now: Time) -> RouteStep {
+        let remaining = self.query.expires_at - now;
+        let withheld_time = withheld_time(candidate, later, remaining);
+        // an attempt is withheld for the next model too: servers that fail fast would use them all
+        let attempts_left = self.query.max_attempts - self.attempts;
+        let withheld_attempts = u32::from(!later.is_empty() && attempts_left > 1);
+        let entry = &mut self.chain[candidate.position];
+        entry.is_tried = true;
+        self.pending = Some(PendingSubmission {
+            model: entry.model,
+            submitted_at: now,
+        });
         RouteStep::Submit(Submission {
-            model: *model,
-            max_output_tokens: *cap,
-            unavailable_attempts: self.attempts + last,
-            deadline,
+            model: entry.model,
+            max_output_tokens: entry.max_output_tokens,
+            unavailable_attempts: self.attempts + withheld_attempts,
+            deadline: Time(self.query.expires_at.0 - withheld_time.0),
         })
     }
 
-    /// The leg that was out has ended without an answer. What that tells of the model's need is
-    /// learnt.
+    /// Notes that the pending submission has ended without an answer, and records what that tells
+    /// of the model's time to its first token.
     pub fn submission_ended(
         &mut self,
         end: SubmissionEnd,
         estimates: &mut FirstTokenEstimates,
         now: Time,
     ) {
-        let Some((model, since)) = self.out.take() else {
+        let Some(pending) = self.pending.take() else {
             return;
         };
         if end.forwarded {
-            estimates.record_unanswered(
-                self.catalog.model(model).number,
-                self.query.prompt_tokens,
-                now - since,
-                now,
-            );
+            let number = self.catalog.model(pending.model).number;
+            let waited = now - pending.submitted_at;
+            estimates.record_unanswered(number, self.query.prompt_tokens, waited, now);
         }
         self.attempts = self.attempts.saturating_add(end.attempts);
         self.may_have_run |= end.forwarded;
-        self.failed |= !end.rejected;
+        self.has_failed |= !end.rejected;
         self.retry_after = match (self.retry_after, end.retry_after) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
+            (Some(earlier), Some(latest)) => Some(earlier.min(latest)),
+            (earlier, latest) => earlier.or(latest),
         };
     }
 
-    /// The leg that was out has begun to answer: the route is over, and its time is learnt.
+    /// Notes that the pending submission has begun to answer: the route has ended. Records the time
+    /// to the first token.
     pub fn answer_started(&mut self, estimates: &mut FirstTokenEstimates, now: Time) {
-        if let Some((model, since)) = self.out.take() {
-            estimates.record(
-                self.catalog.model(model).number,
-                self.query.prompt_tokens,
-                now - since,
-                now,
-            );
+        if let Some(pending) = self.pending.take() {
+            let number = self.catalog.model(pending.model).number;
+            let elapsed = now - pending.submitted_at;
+            estimates.record(number, self.query.prompt_tokens, elapsed, now);
         }
         // nothing may follow an answer that has begun
         self.attempts = u32::MAX;
     }
 
-    /// Passes a model over whose leg was not submitted after all (its price goes beyond a budget,
-    /// say).
+    /// Drops the pending submission, which has not been submitted after all: its price exceeds a
+    /// budget, for example. The model is not tried again.
     pub fn skip_submission(&mut self) {
-        self.out = None;
+        self.pending = None;
     }
 
-    fn give_up(&self, no_host: bool) -> RouteStep {
+    fn exhausted(&self, no_host: bool) -> RouteStep {
         RouteStep::Exhausted(RouteExhausted {
-            rejected: !self.failed,
+            rejected: !self.has_failed,
             attempts: self.attempts,
             retry_after: self.retry_after,
             no_host,
         })
     }
 }
+
+/// The part of the remaining time that is withheld from a submission for the fastest of the later
+/// candidates; none where there is not enough time for both.
+fn withheld_time(candidate: Candidate, later: &[Candidate], remaining: Dur) -> Dur {
+    let later_times = later.iter().map(|candidate| candidate.first_token_time);
+    let Some(fastest) = later_times.min() else {
+        return Dur(0);
+    };
+    let both = fastest.0.saturating_add(candidate.first_token_time.0);
+    if both <= remaining.0 { fastest } else { Dur(0) }
+}
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -268,7 +268,10 @@
 #[case::load_without_base(vec![ModelSpec { load_time: Dur(1), ..spec("a", 10, None) }], 0, "only an adapter")]
 fn a_wrong_model_is_named(#[case] specs: Vec<ModelSpec>, #[case] at: usize, #[case] says: &str) {
     match build(&specs) {
-        Err(CatalogError::Model(k, what)) if k == at => assert!(what.contains(says), "{what}"),
+        Err(CatalogError::Model { index, problem }) if index == at => {
+            let text = problem.to_string();
+            assert!(text.contains(says), "{text}");
+        }
         other => panic!("{other:?}"),
     }
 }
@@ -276,19 +279,19 @@
 #[test]
 fn aliases_and_prices_are_checked() {
     let specs = [spec("a", 10, None), spec("b", 10, None)];
-    let alias = |name: &str, to: &str| Named {
+    let alias = |name: &str, model: &str| AliasSpec {
         name: name.into(),
-        value: to.to_string(),
+        model: model.into(),
     };
-    let price = |name: &str| Named {
-        name: name.into(),
-        value: Price {
+    let price = |model: &str| PriceSpec {
+        model: model.into(),
+        price: Price {
             per_prompt_token: MicroTokens::new(1),
             per_output_token: MicroTokens::new(2),
         },
     };
     let mut numbers = ModelNumbers::default();
-    let mut of = |aliases: &[Named<String>], prices: &[Named<Price>]| {
+    let mut of = |aliases: &[AliasSpec], prices: &[PriceSpec]| {
         Catalog::build(&specs, aliases, prices, &mut numbers)
     };
     let good = of(&[alias("x", "b"), alias("y", "b")], &[price("b")]).unwrap();
@@ -299,23 +302,23 @@
     );
     assert!(matches!(
         of(&[alias("x", "c")], &[]),
-        Err(CatalogError::Alias(0, _))
+        Err(CatalogError::Alias { index: 0, .. })
     ));
     assert!(matches!(
         of(&[alias("x", "a"), alias("y", "x")], &[]),
-        Err(CatalogError::Alias(1, _))
+        Err(CatalogError::Alias { index: 1, .. })
     ));
     assert!(matches!(
         of(&[alias("a", "b")], &[]),
-        Err(CatalogError::Alias(0, _))
+        Err(CatalogError::Alias { index: 0, .. })
     ));
     assert!(matches!(
         of(&[], &[price("a"), price("a")]),
-        Err(CatalogError::Price(1, _))
+        Err(CatalogError::Price { index: 1, .. })
     ));
     assert!(matches!(
         of(&[], &[price("c")]),
-        Err(CatalogError::Price(0, _))
+        Err(CatalogError::Price { index: 0, .. })
     ));
     // a name keeps its number over reloads
     let again = Catalog::build(&specs[1..], &[], &[], &mut numbers).unwrap();
