--- /dev/null
+++ b/tests/spend/against_reference.rs
@@ -0,0 +1,217 @@
+//! Random reservations, settlements, reloads, period ends and clock steps, beside the reference.
+
+use proptest::prelude::*;
+use proptest::test_runner::TestCaseError;
+use stilespan::interface::Time;
+use stilespan::spend::{Ledger, MicroTokens, NodeUsage, ReservationId};
+
+use crate::fixtures::{HOUR, PATHS, ledger, tree};
+use crate::reference_ledger::{
+    BUCKET_UNITS, ReferenceLedger, ReferenceNode, ReferenceReservation, is_on_path,
+};
+
+/// The most that a settlement uses here.
+const MAX_USED: u64 = 499;
+
+/// Amounts are in micro-tokens and times in microseconds. A `usize` chooses a reservation among
+/// those that have been made.
+#[derive(Clone, Debug)]
+enum Operation {
+    Reserve(usize, u64),
+    Extend(usize, u64),
+    Resize(usize, u64),
+    Settle(usize, u64),
+    Release(usize),
+    StepForward(u64),
+    StepBack(u64),
+    Reload([u64; 6]),
+}
+
+fn operation() -> impl Strategy<Value = Operation> {
+    prop_oneof![
+        6 => (0..6usize, 0..300u64).prop_map(|(n, a)| Operation::Reserve(n, a)),
+        2 => (any::<usize>(), 0..100u64).prop_map(|(r, a)| Operation::Extend(r, a)),
+        1 => (any::<usize>(), 0..400u64).prop_map(|(r, a)| Operation::Resize(r, a)),
+        4 => (any::<usize>(), 0..MAX_USED + 1).prop_map(|(r, a)| Operation::Settle(r, a)),
+        2 => any::<usize>().prop_map(Operation::Release),
+        3 => (0..HOUR / 2).prop_map(Operation::StepForward),
+        1 => (0..2 * HOUR).prop_map(Operation::StepBack),
+        1 => prop::array::uniform6(0..1500u64).prop_map(Operation::Reload),
+    ]
+}
+
+/// A ledger and its reference.
+struct Comparison {
+    ledger: Ledger,
+    reference: ReferenceLedger,
+    /// All reservations that have been made, ended ones too.
+    made: Vec<ReservationId>,
+    /// A reload has lowered a limit: what is taken can be above it until enough is available.
+    is_lowered: bool,
+}
+
+impl Comparison {
+    fn new(limits: &[u64; 6]) -> Comparison {
+        Comparison {
+            ledger: ledger(&tree(limits, 1)),
+            reference: ReferenceLedger::new(limits),
+            made: Vec::new(),
+            is_lowered: false,
+        }
+    }
+
+    fn now(&self) -> Time {
+        Time(self.reference.now)
+    }
+
+    fn choose(&self, number: usize) -> Option<ReservationId> {
+        let index = number.checked_rem(self.made.len())?;
+        Some(self.made[index])
+    }
+
+    fn apply(&mut self, operation: &Operation) -> Result<(), TestCaseError> {
+        let now = self.now();
+        match *operation {
+            Operation::Reserve(node, amount) => return self.reserve(PATHS[node], amount),
+            Operation::Extend(number, additional) => {
+                if let Some(id) = self.choose(number) {
+                    let known = self.reference.reservations.get(&id);
+                    let target = known.map(|reservation| reservation.amount + additional);
+                    let result = |ledger: &mut Ledger| {
+                        ledger.extend(id, MicroTokens::new(additional), now).is_ok()
+                    };
+                    return self.change(id, target, result);
+                }
+            }
+            Operation::Resize(number, amount) => {
+                if let Some(id) = self.choose(number) {
+                    let result = |ledger: &mut Ledger| {
+                        ledger.resize(id, MicroTokens::new(amount), now).is_ok()
+                    };
+                    return self.change(id, Some(amount), result);
+                }
+            }
+            Operation::Settle(number, used) => {
+                if let Some(id) = self.choose(number) {
+                    let charge = self.ledger.settle(id, MicroTokens::new(used), now);
+                    prop_assert!(charge.uncharged <= charge.used);
+                    self.reference.settle(id, used);
+                }
+            }
+            Operation::Release(number) => {
+                if let Some(id) = self.choose(number) {
+                    self.ledger.release(id, now);
+                    self.reference.settle(id, 0);
+                }
+            }
+            Operation::StepForward(by) => self.reference.now += by,
+            Operation::StepBack(by) => self.reference.now -= by,
+            Operation::Reload(limits) => {
+                self.ledger.reload(&tree(&limits, 1), now).unwrap();
+                self.reference.set_limits(&limits);
+                self.is_lowered = true;
+            }
+        }
+        Ok(())
+    }
+
+    fn reserve(&mut self, path: &'static str, amount: u64) -> Result<(), TestCaseError> {
+        let now = self.now();
+        let node = self.ledger.find_node(path).unwrap();
+        let expected = self.reference.is_available(path, amount);
+        let result = self.ledger.reserve(node, MicroTokens::new(amount), now);
+        prop_assert_eq!(result.is_ok(), expected, "{:?}", result);
+        match result {
+            Ok(id) => {
+                let reservation = ReferenceReservation { path, amount };
+                self.reference.reservations.insert(id, reservation);
+                self.made.push(id);
+            }
+            Err(exceeded) => {
+                // it names a node of the path, and a wait where there is one
+                prop_assert!(is_on_path(path, &exceeded.node));
+                prop_assert!(exceeded.retry_after.is_none_or(|wait| wait.0 > 0));
+            }
+        }
+        Ok(())
+    }
+
+    /// Changes a reservation to a target amount by a call that returns whether it succeeded.
+    fn change(
+        &mut self,
+        id: ReservationId,
+        target: Option<u64>,
+        call: impl Fn(&mut Ledger) -> bool,
+    ) -> Result<(), TestCaseError> {
+        let known = self.reference.reservations.get(&id).copied();
+        let growth = known
+            .zip(target)
+            .and_then(|(known, target)| Some((known.path, target.checked_sub(known.amount)?)));
+        let expected = growth.map(|(path, by)| self.reference.is_available(path, by));
+        let succeeded = call(&mut self.ledger);
+        if let (Some(expected), Some((_, 1..))) = (expected, growth) {
+            prop_assert_eq!(succeeded, expected);
+        }
+        let reservation = self.reference.reservations.get_mut(&id);
+        if let (true, Some(reservation), Some(target)) = (succeeded, reservation, target) {
+            reservation.amount = target;
+        }
+        let reservation = self.reference.reservations.get(&id);
+        let expected = reservation.map_or(0, |reservation| reservation.amount);
+        prop_assert_eq!(self.ledger.reserved(id).as_u64(), expected);
+        Ok(())
+    }
+
+    fn usage(&mut self) -> Vec<NodeUsage> {
+        let root = self.ledger.find_node("d").unwrap();
+        let now = self.now();
+        self.ledger.subtree_usage(root, now)
+    }
+
+    /// Checks that every node has the reserved and spent amounts of the reference, and is within
+    /// its limits.
+    fn check_usage(&mut self) -> Result<(), TestCaseError> {
+        self.reference.advance();
+        prop_assert_eq!(
+            self.ledger.reservation_count(),
+            self.reference.reservations.len()
+        );
+        for usage in self.usage() {
+            let reserved = self.reference.reserved(&usage.path);
+            prop_assert_eq!(u128::from(usage.reserved), reserved);
+            let ReferenceNode { hourly, bucket } = &self.reference.nodes[usage.path.as_str()];
+            let hourly_spent = u128::from(usage.budgets[0].status.spent);
+            prop_assert_eq!(hourly_spent, hourly.spent, "{}", usage.path);
+            let bucket_spent = u128::from(usage.budgets[1].status.spent);
+            prop_assert_eq!(bucket_spent, bucket.spent.div_ceil(BUCKET_UNITS));
+            for budget in &usage.budgets {
+                let status = budget.status;
+                let most = u128::from(status.limit) + u128::from(MAX_USED);
+                prop_assert!(self.is_lowered || u128::from(status.spent) + reserved <= most);
+            }
+        }
+        Ok(())
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
+
+    #[test]
+    fn the_ledger_matches_the_reference(
+        limits in prop::array::uniform6(0..1500u64),
+        operations in prop::collection::vec(operation(), 1..120),
+    ) {
+        let mut comparison = Comparison::new(&limits);
+        for operation in &operations {
+            comparison.apply(operation)?;
+            comparison.check_usage()?;
+        }
+        let now = comparison.now();
+        for id in comparison.made.clone() {
+            comparison.ledger.release(id, now);
+        }
+        prop_assert_eq!(comparison.ledger.reservation_count(), 0);
+        prop_assert!(comparison.usage().iter().all(|usage| usage.reserved == MicroTokens::ZERO));
+    }
+}
--- /dev/null
+++ b/tests/spend/reloads.rs
@@ -0,0 +1,54 @@
+//! Guarantees of reloads.
+
+use stilespan::interface::Time;
+use stilespan::spend::{BudgetNode, BudgetTree, Ledger, NodeId, NodeUsage};
+
+use crate::fixtures::{HOUR, START, ledger, micro, tree};
+
+fn root_usage(ledger: &mut Ledger, root: NodeId) -> NodeUsage {
+    ledger.subtree_usage(root, Time(START)).swap_remove(0)
+}
+
+#[test]
+fn reloads_keep_spent_amounts() {
+    let mut ledger = ledger(&tree(&[1_000; 6], 1));
+    let node = ledger.find_node("d/n/a/p").unwrap();
+    let open = ledger.reserve(node, micro(200), Time(START)).unwrap();
+    let settled = ledger.reserve(node, micro(200), Time(START)).unwrap();
+    ledger.settle(settled, micro(200), Time(START));
+    let smaller = BudgetTree {
+        nodes: tree(&[300; 6], 1).nodes[..3].to_vec(),
+        instances: 1,
+    };
+    ledger.reload(&smaller, Time(START)).unwrap();
+    // the class takes no new reservations; the open one below it still counts above it
+    let root = ledger.find_node("d").unwrap();
+    assert_eq!(ledger.subtree_usage(root, Time(START)).len(), 3);
+    let usage = root_usage(&mut ledger, root);
+    assert_eq!(
+        (usage.reserved, usage.budgets[0].status.spent),
+        (micro(200), micro(200))
+    );
+    let school = ledger.find_node("d/n").unwrap();
+    assert!(
+        ledger.reserve(school, micro(1), Time(START)).is_err(),
+        "lowered below what is taken: it rejects"
+    );
+    ledger.settle(open, micro(50), Time(START));
+    assert_eq!(ledger.find_node("d/n/a/p"), None);
+    let usage = root_usage(&mut ledger, root);
+    assert_eq!(usage.budgets[0].status.spent, micro(250));
+    let next_hour = Time(START + HOUR);
+    assert!(ledger.reserve(school, micro(10), next_hour).is_ok());
+    // a tree that is not valid changes nothing
+    let invalid = BudgetTree {
+        nodes: vec![BudgetNode {
+            path: "x/y".into(),
+            budgets: Vec::new(),
+        }],
+        instances: 1,
+    };
+    let error = ledger.reload(&invalid, Time(START)).unwrap_err();
+    assert!(error.problem.to_string().contains("stands under no node"));
+    assert!(ledger.find_node("d/n").is_some());
+}
--- /dev/null
+++ b/tests/spend/reservations.rs
@@ -0,0 +1,42 @@
+//! Guarantees of reservations.
+
+use stilespan::interface::{Dur, Time};
+
+use crate::fixtures::{START, ledger, micro, tree};
+
+#[test]
+fn routers_share_a_budget() {
+    let tree = tree(&[1000; 6], 3);
+    let mut used = 0;
+    for _ in 0..3 {
+        let mut ledger = ledger(&tree);
+        let node = ledger.find_node("d/n/a").unwrap();
+        while ledger.reserve(node, micro(10), Time(START)).is_ok() {
+            used += 10;
+        }
+    }
+    assert!((480..=500).contains(&used), "{used}");
+}
+
+#[test]
+fn rejections_give_the_wait() {
+    let limits = [10_000, 1_000, 1_000, 1_000, 1_000, 1_000];
+    let mut ledger = ledger(&tree(&limits, 1));
+    let node = ledger.find_node("d/n/a").unwrap();
+    let mut reserve = |amount: u64, at: u64| ledger.reserve(node, micro(amount), Time(at));
+    let reservation = reserve(400, START).unwrap();
+    // only reservations are in the way: a short wait
+    let exceeded = reserve(300, START).unwrap_err();
+    assert!(
+        exceeded.retry_after.is_some_and(|d| d <= Dur(1_000_000)),
+        "{exceeded:?}"
+    );
+    ledger.settle(reservation, micro(400), Time(START));
+    // the bucket of 501 has 200 available once 99 are refilled, and not a microsecond earlier
+    let mut reserve = |amount: u64, at: u64| ledger.reserve(node, micro(amount), Time(at));
+    let wait = reserve(200, START).unwrap_err().retry_after.unwrap();
+    assert!(reserve(200, START + wait.0 - 1).is_err());
+    assert!(reserve(200, START + wait.0).is_ok());
+    // an amount above the whole limit is never available, which no wait says
+    assert_eq!(reserve(5_000, START).unwrap_err().retry_after, None);
+}
--- /dev/null
+++ b/tests/spend/snapshots.rs
@@ -0,0 +1,37 @@
+//! Guarantees of snapshots.
+
+use stilespan::interface::Time;
+use stilespan::spend::{Ledger, MicroTokens};
+
+use crate::fixtures::{HOUR, START, ledger, micro, tree};
+
+/// What is spent of the hourly budgets.
+fn hourly_spent(ledger: &mut Ledger, at: u64) -> Vec<MicroTokens> {
+    let root = ledger.find_node("d").unwrap();
+    let usages = ledger.subtree_usage(root, Time(at));
+    usages
+        .iter()
+        .map(|usage| usage.budgets[0].status.spent)
+        .collect()
+}
+
+#[test]
+fn snapshots_can_be_restored() {
+    let tree = tree(&[1_000; 6], 1);
+    let mut ledger = ledger(&tree);
+    let node = ledger.find_node("d/n/a").unwrap();
+    let reservation = ledger.reserve(node, micro(300), Time(START)).unwrap();
+    ledger.settle(reservation, micro(300), Time(START));
+    let text = serde_json::to_string(&ledger.snapshot(Time(START))).unwrap();
+    let mut restored = Ledger::new(&tree, Time(START + 1)).unwrap();
+    restored.restore(&serde_json::from_str::<Vec<_>>(&text).unwrap());
+    assert_eq!(
+        hourly_spent(&mut restored, START + 1),
+        hourly_spent(&mut ledger, START + 1)
+    );
+    // the state of an earlier period is not restored into a later one
+    let mut later = Ledger::new(&tree, Time(START + HOUR)).unwrap();
+    later.restore(&ledger.snapshot(Time(START)));
+    let spent = hourly_spent(&mut later, START + HOUR);
+    assert!(spent.iter().all(|amount| *amount == MicroTokens::ZERO));
+}
