--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -6,7 +6,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use jiff::tz::TimeZone;
-use stilespan::interface::{Dur, ReplicaId, State, Time};
+use stilespan::interface::{ReplicaId, Span, State, Timestamp};
 use stilespan::ops::metrics::Metrics;
 use stilespan::routing::{
     Catalog, ChatQuery, FirstTokenEstimates, ModelInventory, ModelNumbers, ModelSpec, Route,
@@ -17,7 +17,7 @@
     PeriodLength,
 };
 
-const START: Time = Time(1_790_000_000_000_000);
+const START: Timestamp = Timestamp::from_secs(1_790_000_000);
 
 fn tree(nodes: usize) -> BudgetTree {
     let period = |length| Period {
@@ -34,7 +34,7 @@
         };
         let rate = BudgetLimit::TokenBucket {
             amount: MicroTokens::from_tokens(MAX_BUDGET_TOKENS),
-            refill_time: Dur(1_000_000),
+            refill_time: Span::from_secs(1),
         };
         vec![
             each("day", PeriodLength::Day),
@@ -89,7 +89,7 @@
         group.bench_function(BenchmarkId::from_parameter(nodes), |b| {
             b.iter(|| {
                 k = (k + 1) % leaves.len();
-                now.0 += 3;
+                now = now + Span::from_micros(3);
                 let hold = ledger
                     .reserve(leaves[k], MicroTokens::from_tokens(500), now)
                     .unwrap();
@@ -119,10 +119,15 @@
                 .filter(|m| m % 40 == k % 40)
                 .map(|m| format!("model-{m}"))
                 .collect();
-            inventory.set_listed(ReplicaId(k as u64), State::InService, Time(0), Some(&names));
+            inventory.set_listed(
+                ReplicaId(k as u64),
+                State::InService,
+                Timestamp::ZERO,
+                Some(&names),
+            );
         }
         inventory.recount_hosts(std::slice::from_ref(&catalog));
-        let mut estimates = FirstTokenEstimates::new(Dur(400_000));
+        let mut estimates = FirstTokenEstimates::new(Span::from_millis(400));
         let mut k = 0;
         group.bench_function(BenchmarkId::from_parameter(models), |b| {
             b.iter(|| {
@@ -131,14 +136,14 @@
                     model: k,
                     prompt_tokens: 500,
                     max_output_tokens: Some(200),
-                    expires_at: START + Dur(1_500_000),
+                    expires_at: START + Span::from_millis(1_500),
                     max_attempts: 3,
                     idempotent: true,
                 };
                 let mut route = Route::new(catalog.clone(), query, |_| true).unwrap();
                 let step = route.next_step(&inventory, &estimates, START);
                 if let RouteStep::Submit(_) = step {
-                    route.answer_started(&mut estimates, START + Dur(50_000));
+                    route.answer_started(&mut estimates, START + Span::from_millis(50));
                 }
                 black_box(step)
             });
--- a/src/edge/config.rs
+++ b/src/edge/config.rs
@@ -12,7 +12,7 @@
 
 use crate::config::{ConfigError, read_file};
 use crate::identity::{self, ApiKeys};
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::routing::{AliasSpec, Catalog, CatalogError, ModelNumbers, ModelSpec, PriceSpec};
 use crate::spend::{
     Budget, BudgetLimit, BudgetNode, BudgetTree, MAX_BUDGET_TOKENS, MAX_DEPTH, MicroTokens, Period,
@@ -206,13 +206,13 @@
             }
             let rate = self.within(rate, "per_second", 0.001, 1e9)?;
             let refill_time =
-                Dur::from_secs(amount.as_u64() as f64 / MicroTokens::PER_TOKEN as f64 / rate);
+                Span::from_secs_f64(amount.as_u64() as f64 / MicroTokens::PER_TOKEN as f64 / rate);
             let name = b.name.clone().unwrap_or_else(|| "rate".into());
             return Ok(Budget {
                 name,
                 limit: BudgetLimit::TokenBucket {
                     amount,
-                    refill_time: refill_time.max(Dur(1)),
+                    refill_time: refill_time.max(Span::from_micros(1)),
                 },
             });
         }
@@ -249,7 +249,7 @@
             }
             Some(("drip", _)) => BudgetLimit::TokenBucket {
                 amount,
-                refill_time: Dur(secs * 1_000_000),
+                refill_time: Span::from_micros(secs * 1_000_000),
             },
             Some((_, at)) => return Err(self.wrong(at, "refill must be start or drip")),
         };
@@ -444,7 +444,7 @@
             ModelSpec {
                 name: m.name.clone(),
                 base: m.base.clone(),
-                load_time: Dur(u64::from(m.load_ms.unwrap_or(0)) * 1000),
+                load_time: Span::from_micros(u64::from(m.load_ms.unwrap_or(0)) * 1000),
                 context_window: m.window,
                 max_output_tokens: m.max_answer,
                 fallback: m.fallback.clone(),
--- a/src/routing/catalog.rs
+++ b/src/routing/catalog.rs
@@ -7,7 +7,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::spend::Price;
 
 pub use error::{AliasProblem, CatalogError, ModelProblem, PriceProblem};
@@ -25,7 +25,7 @@
     /// The index of the base model, where this one is an adapter.
     pub base: Option<usize>,
     /// How long a host that has only the base takes to load the adapter at its first use.
-    pub load_time: Dur,
+    pub load_time: Span,
     /// The most tokens of a prompt and its answer together.
     pub context_window: u32,
     /// The most tokens of an answer.
--- a/src/routing/catalog/build.rs
+++ b/src/routing/catalog/build.rs
@@ -4,7 +4,7 @@
     AliasProblem, AliasSpec, Catalog, CatalogError, Model, ModelNumbers, ModelProblem, ModelSpec,
     PriceProblem, PriceSpec,
 };
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::routing::{MAX_ALIASES, MAX_FALLBACK_CHAIN, MAX_MODELS};
 use crate::spend::{MAX_TOKEN_PRICE, Price};
 
@@ -71,7 +71,7 @@
         let spec = &specs[index];
         let base = match &spec.base {
             Some(base) => Some(self.resolve_base(index, base, specs)?),
-            None if spec.load_time > Dur(0) => {
+            None if spec.load_time > Span::ZERO => {
                 return Err(ModelProblem::LoadTimeWithoutBase(spec.name.clone()));
             }
             None => None,
--- a/src/routing/catalog/spec.rs
+++ b/src/routing/catalog/spec.rs
@@ -1,6 +1,6 @@
 //! The entries of the configuration that a catalog is built from.
 
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::spend::Price;
 
 /// A model as it is configured. [`Model`](super::Model) describes the fields.
@@ -11,7 +11,7 @@
     /// The name of the base model, where this one is an adapter.
     pub base: Option<String>,
     /// How long a host that has only the base takes to load the adapter; zero without a base.
-    pub load_time: Dur,
+    pub load_time: Span,
     /// The most tokens of a prompt and its answer together.
     pub context_window: u32,
     /// The most tokens of an answer.
--- a/src/routing/first_token_estimates.rs
+++ b/src/routing/first_token_estimates.rs
@@ -3,7 +3,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 use crate::policy::{LinearFit, LinearModel};
 
 /// The weight of a new sample: about the last 16 count.
@@ -25,12 +25,12 @@
     /// The recent mean distance of a sample from the line, in seconds.
     mean_deviation: f64,
     /// When the last sample was recorded.
-    updated_at: Time,
+    updated_at: Timestamp,
 }
 
 impl Measurements {
     /// The measurements with one sample: a constant line, and half the sample as its deviation.
-    fn first(prompt_tokens: f64, seconds: f64, now: Time) -> Measurements {
+    fn first(prompt_tokens: f64, seconds: f64, now: Timestamp) -> Measurements {
         let mut measurements = Measurements {
             fit: LinearFit::default(),
             mean_prompt_tokens: prompt_tokens.max(1.0),
@@ -45,7 +45,7 @@
         measurements
     }
 
-    fn record(&mut self, prompt_tokens: f64, seconds: f64, now: Time) {
+    fn record(&mut self, prompt_tokens: f64, seconds: f64, now: Timestamp) {
         let deviation = (seconds - self.line.seconds(prompt_tokens)).abs();
         self.mean_deviation += (deviation - self.mean_deviation) * SAMPLE_WEIGHT;
         self.mean_prompt_tokens += (prompt_tokens - self.mean_prompt_tokens) * SAMPLE_WEIGHT;
@@ -58,10 +58,10 @@
         self.line = self.fit.model(self.line, self.mean_prompt_tokens);
     }
 
-    fn estimate(&self, prompt_tokens: f64, now: Time) -> Dur {
-        let decay = (-(now - self.updated_at).secs() / DECAY_SECONDS).exp();
+    fn estimate(&self, prompt_tokens: f64, now: Timestamp) -> Span {
+        let decay = (-(now - self.updated_at).as_secs_f64() / DECAY_SECONDS).exp();
         let margin = MARGIN_DEVIATIONS * self.mean_deviation;
-        Dur::from_secs((self.line.seconds(prompt_tokens) + margin) * decay)
+        Span::from_secs_f64((self.line.seconds(prompt_tokens) + margin) * decay)
     }
 }
 
@@ -70,13 +70,13 @@
 pub struct FirstTokenEstimates {
     by_model: FxHashMap<u32, Measurements>,
     /// The estimate of a model without measurements.
-    initial: Dur,
+    initial: Span,
 }
 
 impl FirstTokenEstimates {
     /// Estimates without measurements. Until a model has been measured `initial` stands in for it:
     /// the shortest first-token objective of the service classes.
-    pub fn new(initial: Dur) -> FirstTokenEstimates {
+    pub fn new(initial: Span) -> FirstTokenEstimates {
         FirstTokenEstimates {
             by_model: FxHashMap::default(),
             initial,
@@ -84,9 +84,9 @@
     }
 
     /// Records that the first token came `elapsed` after the submission.
-    pub fn record(&mut self, model: u32, prompt_tokens: u32, elapsed: Dur, now: Time) {
+    pub fn record(&mut self, model: u32, prompt_tokens: u32, elapsed: Span, now: Timestamp) {
         let prompt_tokens = f64::from(prompt_tokens);
-        let seconds = elapsed.secs();
+        let seconds = elapsed.as_secs_f64();
         self.by_model
             .entry(model)
             .and_modify(|measured| measured.record(prompt_tokens, seconds, now))
@@ -95,14 +95,20 @@
 
     /// Records that a submission ended after `waited` without a first token, though servers had
     /// received it: the model needs at least that long.
-    pub fn record_unanswered(&mut self, model: u32, prompt_tokens: u32, waited: Dur, now: Time) {
+    pub fn record_unanswered(
+        &mut self,
+        model: u32,
+        prompt_tokens: u32,
+        waited: Span,
+        now: Timestamp,
+    ) {
         if self.estimate(model, prompt_tokens, now) < waited {
             self.record(model, prompt_tokens, waited, now);
         }
     }
 
     /// The time that a model is likely to need at most for its first token.
-    pub fn estimate(&self, model: u32, prompt_tokens: u32, now: Time) -> Dur {
+    pub fn estimate(&self, model: u32, prompt_tokens: u32, now: Timestamp) -> Span {
         match self.by_model.get(&model) {
             Some(measured) => measured.estimate(f64::from(prompt_tokens), now),
             None => self.initial,
--- a/src/routing/model_inventory.rs
+++ b/src/routing/model_inventory.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use super::Catalog;
-use crate::interface::{Dur, Models, ReplicaId, State, Time};
+use crate::interface::{Models, ReplicaId, Span, State, Timestamp};
 
 /// The most models of one report; the rest of a longer one is ignored.
 const MAX_REPORTED_MODELS: usize = 4096;
@@ -57,7 +57,7 @@
 struct HostModels {
     state: State,
     /// When the host was last started.
-    started_at: Time,
+    started_at: Timestamp,
     /// The models that the endpoint list names; none where it names none.
     listed: Option<Vec<String>>,
     /// The models that the host has reported since its start, sorted; none before its first report.
@@ -79,7 +79,7 @@
         &mut self,
         replica: ReplicaId,
         state: State,
-        started_at: Time,
+        started_at: Timestamp,
         models: Option<&[String]>,
     ) {
         let previous = self.hosts.remove(&replica);
@@ -106,7 +106,7 @@
     pub fn record_report(
         &mut self,
         replica: ReplicaId,
-        started_at: Time,
+        started_at: Timestamp,
         mut names: Vec<String>,
     ) -> ReportOutcome {
         let host = self.hosts.get_mut(&replica);
@@ -162,13 +162,13 @@
 impl HostModels {
     /// The numbers of the models that the host serves, each with the time to load it: zero where it
     /// is loaded.
-    fn load_times<'a>(&'a self, catalog: &'a Catalog) -> impl Iterator<Item = (u32, Dur)> + 'a {
+    fn load_times<'a>(&'a self, catalog: &'a Catalog) -> impl Iterator<Item = (u32, Span)> + 'a {
         catalog.models().iter().filter_map(|model| {
             let load_time = match model.base {
                 Some(base) if !self.has_adapter(&model.name) => self
                     .has_model(&catalog.model(base).name)
                     .then_some(model.load_time),
-                _ => self.has_model(&model.name).then_some(Dur(0)),
+                _ => self.has_model(&model.name).then_some(Span::ZERO),
             };
             Some((model.number, load_time?))
         })
--- a/src/routing/model_inventory/tests.rs
+++ b/src/routing/model_inventory/tests.rs
@@ -5,7 +5,7 @@
     let spec = |name: &str, base: Option<&str>| ModelSpec {
         name: name.into(),
         base: base.map(String::from),
-        load_time: Dur(if base.is_some() { 800_000 } else { 0 }),
+        load_time: Span::from_micros(if base.is_some() { 800_000 } else { 0 }),
         context_window: 100,
         max_output_tokens: 10,
         ..ModelSpec::default()
@@ -35,15 +35,20 @@
     inventory.set_listed(
         id,
         State::InService,
-        Time(5),
+        Timestamp::from_micros(5),
         Some(&names(&["small", "large"])),
     );
     let models = inventory.servable_models(id, &catalog);
     assert_eq!(
         [1, 2, 3].map(|m| models.ready_in(m)),
-        [Some(Dur(0)), Some(Dur(0)), Some(Dur(800_000))]
+        [
+            Some(Span::ZERO),
+            Some(Span::ZERO),
+            Some(Span::from_millis(800))
+        ]
     );
-    let outcome = inventory.record_report(id, Time(5), names(&["small", "maths"]));
+    let outcome =
+        inventory.record_report(id, Timestamp::from_micros(5), names(&["small", "maths"]));
     let mismatch = InventoryMismatch {
         missing: names(&["large"]),
         unlisted: names(&["maths"]),
@@ -57,21 +62,26 @@
     let models = inventory.servable_models(id, &catalog);
     assert_eq!(
         [1, 2, 3].map(|m| models.ready_in(m)),
-        [Some(Dur(0)), None, Some(Dur(0))]
+        [Some(Span::ZERO), None, Some(Span::ZERO)]
     );
     assert_eq!(
-        inventory.record_report(id, Time(5), names(&["maths", "small"])),
+        inventory.record_report(id, Timestamp::from_micros(5), names(&["maths", "small"])),
         ReportOutcome::Unchanged
     );
     // a new start: what was told is forgotten, and a late word of the old one is not heard
-    inventory.set_listed(id, State::InService, Time(9), Some(&names(&["small"])));
+    inventory.set_listed(
+        id,
+        State::InService,
+        Timestamp::from_micros(9),
+        Some(&names(&["small"])),
+    );
     assert_eq!(
-        inventory.record_report(id, Time(5), names(&["large"])),
+        inventory.record_report(id, Timestamp::from_micros(5), names(&["large"])),
         ReportOutcome::Unchanged
     );
     assert_eq!(
         inventory.servable_models(id, &catalog).ready_in(3),
-        Some(Dur(800_000))
+        Some(Span::from_millis(800))
     );
 }
 
@@ -81,19 +91,19 @@
     inventory.set_listed(
         ReplicaId(1),
         State::InService,
-        Time(0),
+        Timestamp::ZERO,
         Some(&names(&["small"])),
     );
     inventory.set_listed(
         ReplicaId(2),
         State::Terminating,
-        Time(0),
+        Timestamp::ZERO,
         Some(&names(&["large"])),
     );
-    inventory.set_listed(ReplicaId(3), State::InService, Time(0), None);
+    inventory.set_listed(ReplicaId(3), State::InService, Timestamp::ZERO, None);
     inventory.recount_hosts(&catalog);
     assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [2, 1, 2]);
-    inventory.set_listed(ReplicaId(3), State::Terminated, Time(0), None);
+    inventory.set_listed(ReplicaId(3), State::Terminated, Timestamp::ZERO, None);
     inventory.recount_hosts(&catalog);
     assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [1, 0, 1]);
 }
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use super::{Catalog, FirstTokenEstimates, ModelInventory};
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 
 pub use query::{ChatQuery, RouteError};
 pub use step::{RouteExhausted, RouteStep, Submission, SubmissionEnd};
@@ -27,7 +27,7 @@
     /// The position of the model in the route's chain.
     position: usize,
     /// The time that the model is estimated to need for its first token.
-    first_token_time: Dur,
+    first_token_time: Span,
 }
 
 /// The submission that has not ended.
@@ -35,7 +35,7 @@
 struct PendingSubmission {
     /// The index of the model in the catalog.
     model: usize,
-    submitted_at: Time,
+    submitted_at: Timestamp,
 }
 
 /// The route of one request. It keeps the catalog that it began with.
@@ -49,7 +49,7 @@
     attempts: u32,
     may_have_run: bool,
     has_failed: bool,
-    retry_after: Option<Dur>,
+    retry_after: Option<Span>,
     pending: Option<PendingSubmission>,
 }
 
@@ -105,7 +105,7 @@
         &mut self,
         inventory: &ModelInventory,
         estimates: &FirstTokenEstimates,
-        now: Time,
+        now: Timestamp,
     ) -> RouteStep {
         assert!(self.pending.is_none(), "two submissions would run at once");
         let no_attempt_left = self.attempts >= self.query.max_attempts;
@@ -135,7 +135,7 @@
         &self,
         inventory: &ModelInventory,
         estimates: &FirstTokenEstimates,
-        now: Time,
+        now: Timestamp,
     ) -> Vec<Candidate> {
         let mut candidates = Vec::with_capacity(self.chain.len());
         for (position, entry) in self.chain.iter().enumerate() {
@@ -153,7 +153,7 @@
     }
 
     /// The submission to a candidate. `later` are the candidates behind it in the chain.
-    fn submit(&mut self, candidate: Candidate, later: &[Candidate], now: Time) -> RouteStep {
+    fn submit(&mut self, candidate: Candidate, later: &[Candidate], now: Timestamp) -> RouteStep {
         let remaining = self.query.expires_at - now;
         let withheld_time = withheld_time(candidate, later, remaining);
         // an attempt is withheld for the next model too: servers that fail fast would use them all
@@ -169,7 +169,9 @@
             model: entry.model,
             max_output_tokens: entry.max_output_tokens,
             unavailable_attempts: self.attempts + withheld_attempts,
-            deadline: Time(self.query.expires_at.0 - withheld_time.0),
+            deadline: Timestamp::from_micros(
+                self.query.expires_at.as_micros() - withheld_time.as_micros(),
+            ),
         })
     }
 
@@ -179,7 +181,7 @@
         &mut self,
         end: SubmissionEnd,
         estimates: &mut FirstTokenEstimates,
-        now: Time,
+        now: Timestamp,
     ) {
         let Some(pending) = self.pending.take() else {
             return;
@@ -200,7 +202,7 @@
 
     /// Notes that the pending submission has begun to answer: the route has ended. Records the time
     /// to the first token.
-    pub fn answer_started(&mut self, estimates: &mut FirstTokenEstimates, now: Time) {
+    pub fn answer_started(&mut self, estimates: &mut FirstTokenEstimates, now: Timestamp) {
         if let Some(pending) = self.pending.take() {
             let number = self.catalog.model(pending.model).number;
             let elapsed = now - pending.submitted_at;
@@ -228,11 +230,17 @@
 
 /// The part of the remaining time that is withheld from a submission for the fastest of the later
 /// candidates; none where there is not enough time for both.
-fn withheld_time(candidate: Candidate, later: &[Candidate], remaining: Dur) -> Dur {
+fn withheld_time(candidate: Candidate, later: &[Candidate], remaining: Span) -> Span {
     let later_times = later.iter().map(|candidate| candidate.first_token_time);
     let Some(fastest) = later_times.min() else {
-        return Dur(0);
+        return Span::ZERO;
     };
-    let both = fastest.0.saturating_add(candidate.first_token_time.0);
-    if both <= remaining.0 { fastest } else { Dur(0) }
+    let both = fastest
+        .as_micros()
+        .saturating_add(candidate.first_token_time.as_micros());
+    if both <= remaining.as_micros() {
+        fastest
+    } else {
+        Span::ZERO
+    }
 }
--- a/src/routing/route/query.rs
+++ b/src/routing/route/query.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// A chat request as routing sees it.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     /// The most tokens of the answer, where the client limits them.
     pub max_output_tokens: Option<u32>,
     /// When the client stops waiting for a first token.
-    pub expires_at: Time,
+    pub expires_at: Timestamp,
     /// The most call attempts over all submissions.
     pub max_attempts: u32,
     /// Whether the request can be repeated without harm after an attempt that may have run.
--- a/src/routing/route/step.rs
+++ b/src/routing/route/step.rs
@@ -1,6 +1,6 @@
 //! The steps of a route: submissions, how they end, and the end of the route.
 
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 
 /// A submission to the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,7 +13,7 @@
     /// them, or one is withheld for a later submission.
     pub unavailable_attempts: u32,
     /// When it ends unless a first token has come.
-    pub deadline: Time,
+    pub deadline: Timestamp,
 }
 
 /// The end of a submission without an answer.
@@ -24,7 +24,7 @@
     /// Whether an attempt was forwarded to a server, where it may have run.
     pub forwarded: bool,
     /// After how long to retry, where a rejection said so.
-    pub retry_after: Option<Dur>,
+    pub retry_after: Option<Span>,
     /// Whether it was rejected; else it failed.
     pub rejected: bool,
 }
@@ -38,7 +38,7 @@
     pub attempts: u32,
     /// After how long to retry, where a submission was told so: the shortest wait, as any model of
     /// the chain will do.
-    pub retry_after: Option<Dur>,
+    pub retry_after: Option<Span>,
     /// Whether no model of the chain had a host.
     pub no_host: bool,
 }
--- a/src/spend/budget_tree.rs
+++ b/src/spend/budget_tree.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 use super::{MAX_BUDGET_TOKENS, MAX_BUDGETS_PER_NODE, MAX_DEPTH, MAX_NODES, MicroTokens, Period};
-use crate::interface::Dur;
+use crate::interface::Span;
 
 /// The most bytes of one name of a node's path.
 const MAX_PATH_NAME_BYTES: usize = 64;
@@ -25,7 +25,7 @@
         /// The capacity of the bucket: the largest burst.
         amount: MicroTokens,
         /// How long an empty bucket takes to be full again; above zero.
-        refill_time: Dur,
+        refill_time: Span,
     },
 }
 
@@ -41,7 +41,7 @@
 
     /// Whether this is a token bucket that would refill in no time, which divides by zero.
     fn refills_in_no_time(&self) -> bool {
-        matches!(self, BudgetLimit::TokenBucket { refill_time, .. } if *refill_time == Dur(0))
+        matches!(self, BudgetLimit::TokenBucket { refill_time, .. } if *refill_time == Span::ZERO)
     }
 }
 
--- a/src/spend/budget_usage.rs
+++ b/src/spend/budget_usage.rs
@@ -7,10 +7,10 @@
 use token_bucket::TokenBucket;
 
 use super::{BudgetLimit, ClockReading, MicroTokens};
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 
 /// The wait that is given where only reservations are in the way: they end within about a second.
-const RESERVATION_WAIT: Dur = Dur(1_000_000);
+const RESERVATION_WAIT: Span = Span::from_secs(1);
 
 /// The state of a budget. Every operation except [`BudgetUsage::advance`] takes the state as of the
 /// last `advance`.
@@ -30,23 +30,23 @@
     /// The amount that is spent of it now, rounded up.
     pub spent: MicroTokens,
     /// When the next period begins, or the bucket is full again, by the wall clock.
-    pub refills_at: Time,
+    pub refills_at: Timestamp,
     /// The length of the period, or the time from an empty bucket to a full one.
-    pub window: Dur,
+    pub window: Span,
 }
 
 /// Why an amount is not available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Insufficient {
     /// It is available after this wait, unless others take it.
-    RetryAfter(Dur),
+    RetryAfter(Span),
     /// It is larger than the whole limit.
     AboveLimit,
 }
 
 impl Insufficient {
     /// The wait before a retry; none where the amount is never available.
-    pub fn retry_after(self) -> Option<Dur> {
+    pub fn retry_after(self) -> Option<Span> {
         match self {
             Insufficient::RetryAfter(wait) => Some(wait),
             Insufficient::AboveLimit => None,
@@ -161,7 +161,7 @@
 
     /// Restores a persisted state: the amount that was spent as of `spent_at` (Unix time). A period
     /// that has ended since begins anew with the next [`BudgetUsage::advance`].
-    pub fn restore(&mut self, spent: MicroTokens, spent_at: Time) {
+    pub fn restore(&mut self, spent: MicroTokens, spent_at: Timestamp) {
         match self {
             BudgetUsage::Calendar(budget) => budget.restore(spent, spent_at),
             BudgetUsage::Bucket(bucket) => bucket.restore(spent, spent_at),
--- a/src/spend/budget_usage/calendar_budget.rs
+++ b/src/spend/budget_usage/calendar_budget.rs
@@ -1,7 +1,7 @@
 //! A budget that begins anew with each calendar period.
 
 use super::BudgetStatus;
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 use crate::spend::{ClockReading, MicroTokens, Period, PeriodBounds};
 
 /// The state of a calendar budget.
@@ -45,7 +45,7 @@
     }
 
     /// The time until the whole limit is available again.
-    pub fn time_to_next_period(&self, now: ClockReading) -> Dur {
+    pub fn time_to_next_period(&self, now: ClockReading) -> Span {
         self.present.end - now.wall
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Restores a persisted amount, unless it is of an earlier period.
-    pub fn restore(&mut self, spent: MicroTokens, spent_at: Time) {
+    pub fn restore(&mut self, spent: MicroTokens, spent_at: Timestamp) {
         if spent_at >= self.present.start {
             self.spent = spent;
         }
--- a/src/spend/budget_usage/tests.rs
+++ b/src/spend/budget_usage/tests.rs
@@ -10,8 +10,8 @@
 
 fn at(monotonic: u64, wall: u64) -> ClockReading {
     ClockReading {
-        monotonic: Time(monotonic),
-        wall: Time(START + wall),
+        monotonic: Timestamp::from_micros(monotonic),
+        wall: Timestamp::from_micros(START + wall),
     }
 }
 
@@ -57,7 +57,7 @@
             MicroTokens::ZERO,
             at(2 * MINUTE, 32 * MINUTE)
         ),
-        Err(Insufficient::RetryAfter(Dur(88 * MINUTE)))
+        Err(Insufficient::RetryAfter(Span::from_micros(88 * MINUTE)))
     );
     assert_eq!(use_up(&mut usage, at(40 * MINUTE, 70 * MINUTE)), 0);
     // the hour after it comes as it would have
@@ -69,7 +69,7 @@
     let mut usage = BudgetUsage::new(
         &BudgetLimit::TokenBucket {
             amount: MicroTokens::new(100),
-            refill_time: Dur(HOUR),
+            refill_time: Span::from_micros(HOUR),
         },
         1,
         at(0, 0),
@@ -81,7 +81,7 @@
     // full again by the wall clock as it reads now
     assert_eq!(
         usage.status(at(30 * MINUTE, 0)).refills_at,
-        Time(START + HOUR)
+        Timestamp::from_micros(START + HOUR)
     );
 }
 
--- a/src/spend/budget_usage/token_bucket.rs
+++ b/src/spend/budget_usage/token_bucket.rs
@@ -1,24 +1,24 @@
 //! A budget that is refilled at a constant rate.
 
 use super::BudgetStatus;
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 use crate::spend::{ClockReading, MicroTokens};
 
 /// The state of a token bucket. The monotonic clock refills it.
 #[derive(Clone, Debug)]
 pub(in crate::spend) struct TokenBucket {
     limit: MicroTokens,
-    refill_time: Dur,
+    refill_time: Span,
     /// The spent amount in units of a micro-token divided by the microseconds of `refill_time`: a
     /// microsecond refills exactly `limit` units, so that no refill is rounded.
     spent_units: u128,
     /// The time up to which the bucket has been refilled, by the monotonic clock.
-    refilled_at: Time,
+    refilled_at: Timestamp,
 }
 
 impl TokenBucket {
     /// A full bucket. The refill time must be above zero.
-    pub fn new(limit: MicroTokens, refill_time: Dur, now: ClockReading) -> TokenBucket {
+    pub fn new(limit: MicroTokens, refill_time: Span, now: ClockReading) -> TokenBucket {
         TokenBucket {
             limit,
             refill_time,
@@ -39,29 +39,29 @@
     }
 
     fn units_per_micro_token(&self) -> u128 {
-        u128::from(self.refill_time.0)
+        u128::from(self.refill_time.as_micros())
     }
 
     /// Refills the bucket for the time that has passed.
     pub fn advance(&mut self, now: ClockReading) {
         let elapsed = now.monotonic - self.refilled_at;
-        let refilled = u128::from(elapsed.0) * u128::from(self.limit);
+        let refilled = u128::from(elapsed.as_micros()) * u128::from(self.limit);
         self.spent_units = self.spent_units.saturating_sub(refilled);
         self.refilled_at = now.monotonic.max(self.refilled_at);
     }
 
     /// The time until an amount, at most the limit, is available beside what is spent.
-    pub fn time_to_available(&self, amount: MicroTokens) -> Dur {
+    pub fn time_to_available(&self, amount: MicroTokens) -> Span {
         let allowed = u128::from(self.limit - amount) * self.units_per_micro_token();
         self.time_to_refill(self.spent_units.saturating_sub(allowed))
     }
 
     /// The time in which so many units are refilled, rounded up to a microsecond.
-    fn time_to_refill(&self, units: u128) -> Dur {
+    fn time_to_refill(&self, units: u128) -> Span {
         // a limit of zero refills nothing: one stands in for it, as a wait must be finite
         let units_per_microsecond = u128::from(self.limit).max(1);
         let microseconds = units.div_ceil(units_per_microsecond);
-        Dur(microseconds.min(u128::from(Dur::MAX.0)) as u64)
+        Span::from_micros(microseconds.min(u128::from(Span::MAX.as_micros())) as u64)
     }
 
     /// Spends an amount.
@@ -84,7 +84,7 @@
     }
 
     /// Restores a persisted amount that was spent as of this time.
-    pub fn restore(&mut self, spent: MicroTokens, spent_at: Time) {
+    pub fn restore(&mut self, spent: MicroTokens, spent_at: Timestamp) {
         self.spent_units = u128::from(spent) * self.units_per_micro_token();
         self.refilled_at = spent_at;
     }
--- a/src/spend/ledger/budget_exceeded.rs
+++ b/src/spend/ledger/budget_exceeded.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::spend::{BudgetStatus, MicroTokens};
 
 /// An amount is not available at some budget. Of several budgets this is the one that is the last
@@ -17,7 +17,7 @@
     /// The name of the budget.
     pub budget: String,
     /// How long to wait before a retry; none where the amount is above the whole limit.
-    pub retry_after: Option<Dur>,
+    pub retry_after: Option<Span>,
     /// The state of the budget.
     pub status: BudgetStatus,
     /// The amount that is reserved at the node.
@@ -26,7 +26,7 @@
 
 impl BudgetExceeded {
     /// The wait, for comparison; an amount that is never available has the longest.
-    pub(super) fn wait(&self) -> Dur {
-        self.retry_after.unwrap_or(Dur::MAX)
+    pub(super) fn wait(&self) -> Span {
+        self.retry_after.unwrap_or(Span::MAX)
     }
 }
--- a/src/spend/ledger/node.rs
+++ b/src/spend/ledger/node.rs
@@ -1,7 +1,7 @@
 //! A node of the ledger: its budgets and the reservations at and below it.
 
 use super::{BudgetExceeded, NodeId};
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::spend::budget_usage::{BudgetUsage, UsedAmount};
 use crate::spend::{Budget, ClockReading, MicroTokens};
 
@@ -90,7 +90,7 @@
                 continue;
             };
             let retry_after = insufficient.retry_after();
-            let wait = retry_after.unwrap_or(Dur::MAX);
+            let wait = retry_after.unwrap_or(Span::MAX);
             let is_longest = longest_wait
                 .as_ref()
                 .is_none_or(|noted| wait > noted.wait());
--- a/src/spend/ledger/snapshot.rs
+++ b/src/spend/ledger/snapshot.rs
@@ -4,7 +4,7 @@
 
 use super::Ledger;
 use super::node::{Node, NodeBudget};
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use crate::spend::{ClockReading, MicroTokens};
 
 /// The state of a node as a durable or shared ledger would store it. Reservations are not part of
@@ -26,7 +26,7 @@
     /// The amount that is spent.
     pub spent: MicroTokens,
     /// When that was so: Unix time, stored in microseconds.
-    pub spent_at: Time,
+    pub spent_at: Timestamp,
 }
 
 /// Name, spent amount and Unix time in microseconds.
@@ -37,14 +37,14 @@
         BudgetState {
             name,
             spent,
-            spent_at: Time(micros),
+            spent_at: Timestamp::from_micros(micros),
         }
     }
 }
 
 impl From<BudgetState> for StoredBudgetState {
     fn from(state: BudgetState) -> StoredBudgetState {
-        (state.name, state.spent, state.spent_at.0)
+        (state.name, state.spent, state.spent_at.as_micros())
     }
 }
 
--- a/src/spend/period.rs
+++ b/src/spend/period.rs
@@ -7,10 +7,10 @@
 use jiff::tz::TimeZone;
 use jiff::{ToSpan, ZonedDateTime};
 
-use crate::interface::Time;
+use crate::interface::Timestamp;
 
 /// The end of a period that has none.
-const NEVER: Time = Time(u64::MAX);
+const NEVER: Timestamp = Timestamp::from_micros(u64::MAX);
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const SECONDS_PER_HOUR: u64 = 3_600;
 
@@ -41,14 +41,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeriodBounds {
     /// Its first instant.
-    pub start: Time,
+    pub start: Timestamp,
     /// The first instant of the next one.
-    pub end: Time,
+    pub end: Timestamp,
 }
 
 impl PeriodBounds {
     const UNBOUNDED: PeriodBounds = PeriodBounds {
-        start: Time(0),
+        start: Timestamp::ZERO,
         end: NEVER,
     };
 
@@ -61,12 +61,12 @@
 impl Period {
     /// The occurrence that an instant lies in. It is unbounded where the calendar does not reach
     /// the instant.
-    pub fn bounds(&self, instant: Time) -> PeriodBounds {
+    pub fn bounds(&self, instant: Timestamp) -> PeriodBounds {
         self.find_bounds(instant).unwrap_or(PeriodBounds::UNBOUNDED)
     }
 
-    fn find_bounds(&self, instant: Time) -> Option<PeriodBounds> {
-        let micros = i64::try_from(instant.0).ok()?;
+    fn find_bounds(&self, instant: Timestamp) -> Option<PeriodBounds> {
+        let micros = i64::try_from(instant.as_micros()).ok()?;
         let timestamp = jiff::Timestamp::from_microsecond(micros).ok()?;
         let local = timestamp.to_zoned_datetime(self.zone.clone());
         match &self.length {
@@ -91,7 +91,7 @@
         })
     }
 
-    fn term_bounds(&self, instant: Time, first_days: &[Date]) -> PeriodBounds {
+    fn term_bounds(&self, instant: Timestamp, first_days: &[Date]) -> PeriodBounds {
         let has_begun = |day: &Date| {
             self.start_of_day(*day)
                 .is_some_and(|start| start <= instant)
@@ -103,30 +103,30 @@
         };
         let present = next.checked_sub(1);
         PeriodBounds {
-            start: present.and_then(start_of_term).unwrap_or(Time(0)),
+            start: present.and_then(start_of_term).unwrap_or(Timestamp::ZERO),
             end: start_of_term(next).unwrap_or(NEVER),
         }
     }
 
     /// Midnight, or the first instant of a day whose midnight a clock change skips.
-    fn start_of_day(&self, day: Date) -> Option<Time> {
+    fn start_of_day(&self, day: Date) -> Option<Timestamp> {
         let midnight = day.to_zoned_datetime(self.zone.clone()).ok()?;
         let micros = midnight.timestamp().as_microsecond();
-        Some(Time(u64::try_from(micros).unwrap_or(0)))
+        Some(Timestamp::from_micros(u64::try_from(micros).unwrap_or(0)))
     }
 }
 
 /// The bounds of an hour. They are counted in elapsed time from the present offset of the zone, so
 /// that an hour that a clock change repeats or cuts is a period of its own.
-fn hour_bounds(instant: Time, local: &ZonedDateTime) -> PeriodBounds {
+fn hour_bounds(instant: Timestamp, local: &ZonedDateTime) -> PeriodBounds {
     const HOUR: u64 = SECONDS_PER_HOUR * MICROS_PER_SECOND;
     let offset_seconds = i64::from(local.offset().seconds());
     let past_full_hour = offset_seconds.rem_euclid(SECONDS_PER_HOUR as i64) as u64;
     let shift = past_full_hour * MICROS_PER_SECOND;
-    let local_start = (instant.0 + shift) / HOUR * HOUR;
+    let local_start = (instant.as_micros() + shift) / HOUR * HOUR;
     PeriodBounds {
-        start: Time(local_start.saturating_sub(shift)),
-        end: Time(local_start + HOUR - shift),
+        start: Timestamp::from_micros(local_start.saturating_sub(shift)),
+        end: Timestamp::from_micros(local_start + HOUR - shift),
     }
 }
 
--- a/src/spend/period/tests.rs
+++ b/src/spend/period/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use rstest::rstest;
 
-fn at(text: &str) -> Time {
-    Time(text.parse::<jiff::Timestamp>().unwrap().as_microsecond() as u64)
+fn at(text: &str) -> Timestamp {
+    Timestamp::from_micros(text.parse::<jiff::Timestamp>().unwrap().as_microsecond() as u64)
 }
 
-fn bounds(start: Time, end: Time) -> PeriodBounds {
+fn bounds(start: Timestamp, end: Timestamp) -> PeriodBounds {
     PeriodBounds { start, end }
 }
 
@@ -28,10 +28,15 @@
     let now = at(now);
     let PeriodBounds { start, end } = period.bounds(now);
     assert!(start <= now && now < end);
-    assert_eq!((end - start).0, hours * 3_600_000_000);
+    assert_eq!((end - start).as_micros(), hours * 3_600_000_000);
     // the periods join without a gap
     assert_eq!(period.bounds(end).start, end);
-    assert_eq!(period.bounds(Time(start.0 - 1)).end, start);
+    assert_eq!(
+        period
+            .bounds(Timestamp::from_micros(start.as_micros() - 1))
+            .end,
+        start
+    );
 }
 
 #[test]
@@ -45,7 +50,7 @@
     let second = at("2027-01-11T00:00:00+01:00");
     assert_eq!(
         period.bounds(at("2026-08-01T00:00:00Z")),
-        bounds(Time(0), first)
+        bounds(Timestamp::ZERO, first)
     );
     assert_eq!(period.bounds(first), bounds(first, second));
     assert_eq!(period.bounds(second), bounds(second, NEVER));
@@ -60,5 +65,5 @@
     };
     let PeriodBounds { start, end } = period.bounds(at("2018-11-04T12:00:00-02:00"));
     assert_eq!(start, at("2018-11-04T01:00:00-02:00"));
-    assert_eq!((end - start).0, 23 * 3_600_000_000);
+    assert_eq!((end - start).as_micros(), 23 * 3_600_000_000);
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -4,11 +4,11 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use stilespan::interface::{Dur, ReplicaId, State, Time};
+use stilespan::interface::{ReplicaId, Span, State, Timestamp};
 use stilespan::routing::*;
 use stilespan::spend::{MicroTokens, Price};
 
-const AIM: Dur = Dur(400_000);
+const AIM: Span = Span::from_millis(400);
 
 fn spec(name: &str, window: u32, fallback: Option<&str>) -> ModelSpec {
     ModelSpec {
@@ -40,7 +40,7 @@
         inventory.set_listed(
             ReplicaId(k as u64),
             State::InService,
-            Time(0),
+            Timestamp::ZERO,
             Some(&[name.to_string()]),
         );
     }
@@ -53,7 +53,7 @@
         model: 0,
         prompt_tokens,
         max_output_tokens: None,
-        expires_at: Time(1_500_000),
+        expires_at: Timestamp::from_millis(1_500),
         max_attempts: 3,
         idempotent: true,
     }
@@ -70,7 +70,7 @@
     SubmissionEnd {
         attempts,
         forwarded: false,
-        retry_after: retry_after.map(Dur),
+        retry_after: retry_after.map(Span::from_micros),
         rejected: true,
     }
 }
@@ -81,7 +81,7 @@
     let inventory = hosts(&catalog, &["marker", "hint", "tiny"]);
     let mut estimates = FirstTokenEstimates::new(AIM);
     let mut route = Route::new(catalog, query(500), |_| true).unwrap();
-    let leg = tried(route.next_step(&inventory, &estimates, Time(0)));
+    let leg = tried(route.next_step(&inventory, &estimates, Timestamp::ZERO));
     // one attempt and the time for it are kept back for the next model
     assert_eq!(
         (
@@ -90,7 +90,7 @@
             leg.unavailable_attempts,
             leg.deadline
         ),
-        (0, 4_000, 1, Time(1_100_000))
+        (0, 4_000, 1, Timestamp::from_millis(1_100))
     );
     route.submission_ended(
         SubmissionEnd {
@@ -100,14 +100,18 @@
             rejected: true,
         },
         &mut estimates,
-        Time(500_000),
+        Timestamp::from_millis(500),
     );
-    let leg = tried(route.next_step(&inventory, &estimates, Time(500_000)));
+    let leg = tried(route.next_step(&inventory, &estimates, Timestamp::from_millis(500)));
     assert_eq!(
         (leg.model, leg.max_output_tokens, leg.unavailable_attempts),
         (1, 2_000, 2)
     );
-    route.submission_ended(refused(1, None), &mut estimates, Time(700_000));
+    route.submission_ended(
+        refused(1, None),
+        &mut estimates,
+        Timestamp::from_millis(700),
+    );
     let end = RouteExhausted {
         rejected: true,
         attempts: 3,
@@ -115,7 +119,7 @@
         no_host: false,
     };
     assert_eq!(
-        route.next_step(&inventory, &estimates, Time(700_000)),
+        route.next_step(&inventory, &estimates, Timestamp::from_millis(700)),
         RouteStep::Exhausted(end)
     );
 }
@@ -125,30 +129,38 @@
     let catalog = catalog();
     let mut estimates = FirstTokenEstimates::new(AIM);
     let mut route = Route::new(catalog.clone(), query(500), |_| true).unwrap();
-    let leg = tried(route.next_step(&hosts(&catalog, &["hint"]), &estimates, Time(0)));
+    let leg = tried(route.next_step(&hosts(&catalog, &["hint"]), &estimates, Timestamp::ZERO));
     assert_eq!(
         (leg.model, leg.unavailable_attempts, leg.deadline),
-        (1, 0, Time(1_500_000))
+        (1, 0, Timestamp::from_millis(1_500))
     );
     // the fallback declines and tells when to come back; the preferred is back meanwhile
-    route.submission_ended(refused(0, Some(900_000)), &mut estimates, Time(10_000));
+    route.submission_ended(
+        refused(0, Some(900_000)),
+        &mut estimates,
+        Timestamp::from_millis(10),
+    );
     let leg = tried(route.next_step(
         &hosts(&catalog, &["marker", "hint"]),
         &estimates,
-        Time(10_000),
+        Timestamp::from_millis(10),
     ));
     assert_eq!(leg.model, 0);
-    route.submission_ended(refused(0, Some(300_000)), &mut estimates, Time(20_000));
+    route.submission_ended(
+        refused(0, Some(300_000)),
+        &mut estimates,
+        Timestamp::from_millis(20),
+    );
     let RouteStep::Exhausted(end) = route.next_step(
         &hosts(&catalog, &["marker", "hint"]),
         &estimates,
-        Time(20_000),
+        Timestamp::from_millis(20),
     ) else {
         panic!("each model has its turn once");
     };
     assert_eq!(
         (end.rejected, end.retry_after, end.no_host),
-        (true, Some(Dur(300_000)), false)
+        (true, Some(Span::from_millis(300)), false)
     );
 }
 
@@ -159,7 +171,7 @@
     let RouteStep::Exhausted(end) = route.next_step(
         &hosts(&catalog, &[]),
         &FirstTokenEstimates::new(AIM),
-        Time(0),
+        Timestamp::ZERO,
     ) else {
         panic!()
     };
@@ -173,13 +185,22 @@
     // the prompt fits the marker alone
     let mut route = Route::new(catalog.clone(), query(5_000), |_| true).unwrap();
     assert!(matches!(
-        route.next_step(&hosts(&catalog, &["hint", "tiny"]), &estimates, Time(0)),
+        route.next_step(
+            &hosts(&catalog, &["hint", "tiny"]),
+            &estimates,
+            Timestamp::ZERO
+        ),
         RouteStep::Exhausted(_)
     ));
     // the school may not use the middle one
     let mut route = Route::new(catalog.clone(), query(500), |m| m != 1).unwrap();
     assert_eq!(
-        tried(route.next_step(&hosts(&catalog, &["hint", "tiny"]), &estimates, Time(0))).model,
+        tried(route.next_step(
+            &hosts(&catalog, &["hint", "tiny"]),
+            &estimates,
+            Timestamp::ZERO
+        ))
+        .model,
         2
     );
     assert_eq!(
@@ -201,27 +222,37 @@
     let mut estimates = FirstTokenEstimates::new(AIM);
     let (marker, hint) = (catalog.model(0).number, catalog.model(1).number);
     for k in 0..50 {
-        estimates.record(marker, 500, Dur(1_300_000), Time(k * 1_000));
-        estimates.record(hint, 500, Dur(100_000), Time(k * 1_000));
+        estimates.record(
+            marker,
+            500,
+            Span::from_millis(1_300),
+            Timestamp::from_micros(k * 1_000),
+        );
+        estimates.record(
+            hint,
+            500,
+            Span::from_millis(100),
+            Timestamp::from_micros(k * 1_000),
+        );
     }
     let mut route = Route::new(
         catalog.clone(),
         ChatQuery {
-            expires_at: Time(2_500_000),
+            expires_at: Timestamp::from_millis(2_500),
             ..query(500)
         },
         |_| true,
     )
     .unwrap();
-    let leg = tried(route.next_step(&inventory, &estimates, Time(50_000)));
+    let leg = tried(route.next_step(&inventory, &estimates, Timestamp::from_millis(50)));
     assert_eq!(leg.model, 0);
     assert!(
-        leg.deadline < Time(2_450_000),
+        leg.deadline < Timestamp::from_millis(2_450),
         "time for the fallback is kept back: {leg:?}"
     );
     let mut route = Route::new(catalog, query(500), |_| true).unwrap();
     assert_eq!(
-        tried(route.next_step(&inventory, &estimates, Time(900_000))).model,
+        tried(route.next_step(&inventory, &estimates, Timestamp::from_millis(900))).model,
         1
     );
 }
@@ -240,7 +271,7 @@
         |_| true,
     )
     .unwrap();
-    tried(route.next_step(&inventory, &estimates, Time(0)));
+    tried(route.next_step(&inventory, &estimates, Timestamp::ZERO));
     route.submission_ended(
         SubmissionEnd {
             attempts: 1,
@@ -249,9 +280,11 @@
             rejected: false,
         },
         &mut estimates,
-        Time(1_000),
+        Timestamp::from_millis(1),
     );
-    let RouteStep::Exhausted(end) = route.next_step(&inventory, &estimates, Time(1_000)) else {
+    let RouteStep::Exhausted(end) =
+        route.next_step(&inventory, &estimates, Timestamp::from_millis(1))
+    else {
         panic!()
     };
     assert!(!end.rejected);
@@ -265,7 +298,7 @@
 #[case::no_window(vec![spec("a", 0, None)], 0, "window")]
 #[case::no_base(vec![ModelSpec { base: Some("x".into()), ..spec("a", 10, None) }], 0, "base \"x\" is no model")]
 #[case::own_base(vec![ModelSpec { base: Some("a".into()), ..spec("a", 10, None) }], 0, "adapter itself")]
-#[case::load_without_base(vec![ModelSpec { load_time: Dur(1), ..spec("a", 10, None) }], 0, "only an adapter")]
+#[case::load_without_base(vec![ModelSpec { load_time: Span::from_micros(1), ..spec("a", 10, None) }], 0, "only an adapter")]
 fn a_wrong_model_is_named(#[case] specs: Vec<ModelSpec>, #[case] at: usize, #[case] says: &str) {
     match build(&specs) {
         Err(CatalogError::Model { index, problem }) if index == at => {
@@ -346,13 +379,13 @@
             windows.iter().enumerate().map(|(k, w)| spec(&names[k], *w, names.get(k + 1).map(|n| n.as_str()))).collect();
         let catalog = Arc::new(build(&specs).unwrap());
         let allowed = |m: usize| !forbidden[m];
-        let query = ChatQuery { model: 0, prompt_tokens, max_output_tokens, expires_at: Time(1_500_000), max_attempts, idempotent };
+        let query = ChatQuery { model: 0, prompt_tokens, max_output_tokens, expires_at: Timestamp::from_millis(1_500), max_attempts, idempotent };
         let Ok(mut route) = Route::new(catalog.clone(), query, allowed) else {
             prop_assert!(forbidden[0] || windows[0] <= prompt_tokens);
             return Ok(());
         };
         let mut estimates = FirstTokenEstimates::new(AIM);
-        let (mut now, mut made, mut ran, mut seen) = (Time(0), 0, false, Vec::new());
+        let (mut now, mut made, mut ran, mut seen) = (Timestamp::ZERO, 0, false, Vec::new());
         let mut over = false;
         for (n, forwarded, rejected, took, mask) in moves {
             let with: Vec<&str> = names.iter().enumerate().filter(|(k, _)| mask >> k & 1 == 1).map(|(_, n)| n.as_str()).collect();
@@ -367,13 +400,13 @@
                     prop_assert!(with.contains(&names[leg.model].as_str()));
                     prop_assert!(leg.max_output_tokens >= 1 && prompt_tokens + leg.max_output_tokens <= windows[leg.model]);
                     prop_assert!(max_output_tokens.is_none_or(|c| leg.max_output_tokens <= c));
-                    prop_assert!(leg.deadline <= Time(1_500_000) && leg.deadline > now);
+                    prop_assert!(leg.deadline <= Timestamp::from_millis(1_500) && leg.deadline > now);
                     prop_assert!(leg.unavailable_attempts >= made && leg.unavailable_attempts < max_attempts);
                     prop_assert!(idempotent || !ran);
                     seen.push(leg.model);
                     // the module makes no more than it was left
                     let n = n.min(max_attempts - leg.unavailable_attempts);
-                    now = (now + Dur(took)).min(leg.deadline);
+                    now = (now + Span::from_micros(took)).min(leg.deadline);
                     let forwarded = forwarded && n > 0;
                     (made, ran) = (made + n, ran || forwarded);
                     route.submission_ended(SubmissionEnd { attempts: n, forwarded, retry_after: None, rejected }, &mut estimates, now);
--- a/tests/spend/against_reference.rs
+++ b/tests/spend/against_reference.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
-use stilespan::interface::Time;
+use stilespan::interface::Timestamp;
 use stilespan::spend::{Ledger, MicroTokens, NodeUsage, ReservationId};
 
 use crate::fixtures::{HOUR, PATHS, ledger, tree};
@@ -60,8 +60,8 @@
         }
     }
 
-    fn now(&self) -> Time {
-        Time(self.reference.now)
+    fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.reference.now)
     }
 
     fn choose(&self, number: usize) -> Option<ReservationId> {
@@ -130,7 +130,7 @@
             Err(exceeded) => {
                 // it names a node of the path, and a wait where there is one
                 prop_assert!(is_on_path(path, &exceeded.node));
-                prop_assert!(exceeded.retry_after.is_none_or(|wait| wait.0 > 0));
+                prop_assert!(exceeded.retry_after.is_none_or(|wait| !wait.is_zero()));
             }
         }
         Ok(())
--- a/tests/spend/fixtures.rs
+++ b/tests/spend/fixtures.rs
@@ -1,7 +1,7 @@
 //! A small tree with an hourly budget and a token bucket at every node.
 
 use jiff::tz::TimeZone;
-use stilespan::interface::{Dur, Time};
+use stilespan::interface::{Span, Timestamp};
 use stilespan::spend::{
     Budget, BudgetLimit, BudgetNode, BudgetTree, Ledger, MicroTokens, Period, PeriodLength,
 };
@@ -51,14 +51,14 @@
         name: "drip".into(),
         limit: BudgetLimit::TokenBucket {
             amount: MicroTokens::new(capacity),
-            refill_time: Dur(REFILL_TIME),
+            refill_time: Span::from_micros(REFILL_TIME),
         },
     }
 }
 
 /// A ledger of a tree as of `START`.
 pub fn ledger(tree: &BudgetTree) -> Ledger {
-    Ledger::new(tree, Time(START)).unwrap()
+    Ledger::new(tree, Timestamp::from_micros(START)).unwrap()
 }
 
 /// An amount in micro-tokens.
