--- a/src/routing/first_token_estimates/tests.rs
+++ b/src/routing/first_token_estimates/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_need_follows_what_was_measured_and_fades() {
+fn estimates_follow_measurements_and_decay() {
     let mut estimates = FirstTokenEstimates::new(Span::from_millis(400));
     assert_eq!(
         estimates.estimate(0, 100, Timestamp::ZERO),
@@ -13,7 +13,7 @@
             0,
             prompt,
             Span::from_micros(50_000 + 100 * u64::from(prompt)),
-            Timestamp::from_micros(u64::from(k) * 1000),
+            Timestamp::from_millis(u64::from(k)),
         );
     }
     let at = Timestamp::from_millis(200);
@@ -25,7 +25,7 @@
         (0.055..0.09).contains(&short) && (0.105..0.14).contains(&long),
         "{short} {long}"
     );
-    // the other model is none of its business, and an old measure fades
+    // the other model keeps the initial estimate, and an old measurement decays
     assert_eq!(estimates.estimate(1, 100, at), Span::from_millis(400));
     assert!(
         estimates
@@ -36,18 +36,13 @@
 }
 
 #[test]
-fn what_never_comes_raises_the_need() {
+fn missing_tokens_raise_the_estimate() {
     let mut estimates = FirstTokenEstimates::new(Span::from_millis(100));
     for k in 0..40 {
-        estimates.record_unanswered(
-            0,
-            100,
-            Span::from_millis(900),
-            Timestamp::from_micros(k * 1000),
-        );
+        estimates.record_unanswered(0, 100, Span::from_millis(900), Timestamp::from_millis(k));
     }
     assert!(estimates.estimate(0, 100, Timestamp::from_millis(40)) >= Span::from_millis(800));
-    // a wait shorter than the need tells nothing
+    // a wait shorter than the estimate changes nothing
     let before = estimates.estimate(0, 100, Timestamp::from_millis(40));
     estimates.record_unanswered(0, 100, Span::from_millis(10), Timestamp::from_millis(40));
     assert_eq!(
--- a/src/routing/model_inventory/tests.rs
+++ b/src/routing/model_inventory/tests.rs
@@ -5,7 +5,7 @@
     let spec = |name: &str, base: Option<&str>| ModelSpec {
         name: name.into(),
         base: base.map(String::from),
-        load_time: Span::from_micros(if base.is_some() { 800_000 } else { 0 }),
+        load_time: Span::from_millis(if base.is_some() { 800 } else { 0 }),
         context_window: 100,
         max_output_tokens: 10,
         ..ModelSpec::default()
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_host_is_believed_and_a_difference_reported() {
+fn host_reports_take_precedence() {
     let (catalog, id) = (catalog(), ReplicaId(7));
     let mut inventory = ModelInventory::default();
     inventory.set_listed(
@@ -68,7 +68,7 @@
         inventory.record_report(id, Timestamp::from_micros(5), names(&["maths", "small"])),
         ReportOutcome::Unchanged
     );
-    // a new start: what was told is forgotten, and a late word of the old one is not heard
+    // after another start of the host, its reports from before are dropped and ignored
     inventory.set_listed(
         id,
         State::InService,
--- a/src/spend/budget_usage.rs
+++ b/src/spend/budget_usage.rs
@@ -114,14 +114,14 @@
     ) -> Result<(), Insufficient> {
         let limit = self.limit();
         let spent = self.spent();
-        let fits_beside = |taken: MicroTokens| taken.saturating_add(amount) <= limit;
-        if fits_beside(spent.saturating_add(reserved)) {
+        let is_within_limit = |taken: MicroTokens| taken.saturating_add(amount) <= limit;
+        if is_within_limit(spent.saturating_add(reserved)) {
             return Ok(());
         }
         if amount > limit {
             return Err(Insufficient::AboveLimit);
         }
-        if fits_beside(spent) {
+        if is_within_limit(spent) {
             return Err(Insufficient::RetryAfter(RESERVATION_WAIT));
         }
         Err(Insufficient::RetryAfter(match self {
--- a/src/spend/budget_usage/tests.rs
+++ b/src/spend/budget_usage/tests.rs
@@ -30,27 +30,27 @@
     )
 }
 
-/// Uses up what the period has left at this moment; how much that was.
-fn use_up(usage: &mut BudgetUsage, now: ClockReading) -> u64 {
+/// Spends all that is available at this moment, and returns how much that was.
+fn spend_all(usage: &mut BudgetUsage, now: ClockReading) -> u64 {
     usage.advance(now);
-    let reading = usage.status(now);
-    let left = reading.limit - reading.spent;
+    let status = usage.status(now);
+    let available = status.limit - status.spent;
     let used = UsedAmount {
-        reserved: left,
+        reserved: available,
         excess: MicroTokens::ZERO,
     };
     usage.charge(used, MicroTokens::ZERO);
-    left.as_u64()
+    available.as_u64()
 }
 
 #[test]
 fn periods_follow_the_stepped_clock() {
     let mut usage = hourly();
-    assert_eq!(use_up(&mut usage, at(0, 30 * MINUTE)), 100);
-    // an hour ahead: the next hour has begun
-    assert_eq!(use_up(&mut usage, at(MINUTE, 91 * MINUTE)), 100);
-    // and back: neither hour is given again, and the wait is until the later one ends
-    assert_eq!(use_up(&mut usage, at(2 * MINUTE, 32 * MINUTE)), 0);
+    assert_eq!(spend_all(&mut usage, at(0, 30 * MINUTE)), 100);
+    // stepped an hour ahead: the next hour has begun
+    assert_eq!(spend_all(&mut usage, at(MINUTE, 91 * MINUTE)), 100);
+    // and stepped back: neither hour begins again, and the wait is until the later one ends
+    assert_eq!(spend_all(&mut usage, at(2 * MINUTE, 32 * MINUTE)), 0);
     assert_eq!(
         usage.check_available(
             MicroTokens::new(1),
@@ -59,13 +59,13 @@
         ),
         Err(Insufficient::RetryAfter(Span::from_micros(88 * MINUTE)))
     );
-    assert_eq!(use_up(&mut usage, at(40 * MINUTE, 70 * MINUTE)), 0);
-    // the hour after it comes as it would have
-    assert_eq!(use_up(&mut usage, at(90 * MINUTE, 120 * MINUTE)), 100);
+    assert_eq!(spend_all(&mut usage, at(40 * MINUTE, 70 * MINUTE)), 0);
+    // the hour after it begins as it would have
+    assert_eq!(spend_all(&mut usage, at(90 * MINUTE, 120 * MINUTE)), 100);
 }
 
 #[test]
-fn drips_refill_in_real_time() {
+fn buckets_refill_in_real_time() {
     let mut usage = BudgetUsage::new(
         &BudgetLimit::TokenBucket {
             amount: MicroTokens::new(100),
@@ -74,10 +74,10 @@
         1,
         at(0, 0),
     );
-    assert_eq!(use_up(&mut usage, at(0, 0)), 100);
+    assert_eq!(spend_all(&mut usage, at(0, 0)), 100);
     // the clock is stepped by an hour either way, and half an hour passes
-    assert_eq!(use_up(&mut usage, at(1, HOUR + 1)), 0);
-    assert_eq!(use_up(&mut usage, at(30 * MINUTE, 0)), 50);
+    assert_eq!(spend_all(&mut usage, at(1, HOUR + 1)), 0);
+    assert_eq!(spend_all(&mut usage, at(30 * MINUTE, 0)), 50);
     // full again by the wall clock as it reads now
     assert_eq!(
         usage.status(at(30 * MINUTE, 0)).refills_at,
@@ -93,15 +93,15 @@
         steps in prop::collection::vec((0..2 * HOUR, -3 * HOUR as i64..3 * HOUR as i64), 0..60),
     ) {
         let mut usage = hourly();
-        let (mut real, mut shift, mut latest) = (0u64, 0i64, 0u64);
-        prop_assert_eq!(use_up(&mut usage, at(0, 0)), 100);
+        let (mut monotonic, mut shift, mut latest_hour) = (0u64, 0i64, 0u64);
+        prop_assert_eq!(spend_all(&mut usage, at(0, 0)), 100);
         for (passed, step) in steps {
-            real += passed;
+            monotonic += passed;
             shift += step;
-            let wall = real.saturating_add_signed(shift);
-            let begins = wall / HOUR > latest;
-            latest = latest.max(wall / HOUR);
-            prop_assert_eq!(use_up(&mut usage, at(real, wall)), if begins { 100 } else { 0 });
+            let wall = monotonic.saturating_add_signed(shift);
+            let begins = wall / HOUR > latest_hour;
+            latest_hour = latest_hour.max(wall / HOUR);
+            prop_assert_eq!(spend_all(&mut usage, at(monotonic, wall)), if begins { 100 } else { 0 });
         }
     }
 }
--- a/src/spend/period/tests.rs
+++ b/src/spend/period/tests.rs
@@ -16,7 +16,7 @@
 #[case::the_week_gains_an_hour(PeriodLength::Week, "2026-11-01T12:00:00-05:00", 169)]
 #[case::an_hour(PeriodLength::Hour, "2026-11-01T01:30:00-04:00", 1)]
 #[case::the_hour_that_comes_twice(PeriodLength::Hour, "2026-11-01T01:30:00-05:00", 1)]
-fn periods_go_by_the_places_clock(
+fn periods_follow_the_local_clock(
     #[case] length: PeriodLength,
     #[case] now: &str,
     #[case] hours: u64,
@@ -58,7 +58,7 @@
 
 /// A day whose midnight the clock skips begins at its first instant.
 #[test]
-fn a_midnight_that_the_clock_skips() {
+fn days_without_midnight() {
     let period = Period {
         length: PeriodLength::Day,
         zone: TimeZone::get("America/Sao_Paulo").unwrap(),
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_request_goes_only_where_its_model_is() {
+fn requests_go_where_their_model_is() {
     let mut gateway = gateway(
         (0..40)
             .map(|k| serving(k, &[(1 + u32::from(k == 23), 0)]))
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_load_of_one_model_is_seen_by_the_other() {
+fn models_share_the_load_of_replicas() {
     // both have both; the first is busy with model 1, so model 2 goes to the second, every time
     let mut gateway = gateway(vec![serving(0, &[(1, 0), (2, 0)]), serving(1, &[(2, 0)])]);
     let long = Arrival {
@@ -67,7 +67,7 @@
 #[rstest]
 #[case::never_listed(0)]
 #[case::left_while_held(1)]
-fn a_model_that_nobody_has_is_refused_at_once(#[case] held: u32) {
+fn models_without_replicas_are_rejected(#[case] held: u32) {
     let mut gateway = gateway(vec![serving(0, &[(1, 0), (2, 0)])]);
     if held == 1 {
         // a long prompt keeps the only replica from maturing
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_model_that_is_loaded_goes_ahead_of_one_that_must_be() {
+fn loaded_models_are_preferred() {
     let mut gateway = gateway(vec![serving(0, &[(1, 300_000)]), serving(1, &[(1, 0)])]);
     for id in 1..=10 {
         assert_eq!(sends(&gateway.ask(100_000, of(1, id))), [(id, 1)]);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn attempts_under_earlier_ids_count() {
+fn attempts_of_earlier_ids_count() {
     let mut gateway = gateway(vec![serving(0, &[(1, 0)]), serving(1, &[(1, 0)])]);
     let mut arrival = of(1, 1);
     arrival.spent = 2;
@@ -138,7 +138,7 @@
 
 /// A home for a session is the same at every gateway, and has the session's model.
 #[test]
-fn a_sessions_home_has_its_model() {
+fn sessions_go_where_their_model_is() {
     let entries: Vec<Entry> = (0..6)
         .map(|k| serving(k, &[(1 + (k % 2) as u32, 0)]))
         .collect();
