--- a/tests/spend/snapshots.rs
+++ b/tests/spend/snapshots.rs
@@ -25,6 +25,8 @@
         .unwrap();
     ledger.settle(reservation, micro(300), Timestamp::from_micros(START));
     let text = serde_json::to_string(&ledger.snapshot(Timestamp::from_micros(START))).unwrap();
+    // the stored form of a budget: its name, the amount, and the time in microseconds
+    assert!(text.contains(&format!("[\"hour\",300,{START}]")), "{text}");
     let mut restored = Ledger::new(&tree, Timestamp::from_micros(START + 1)).unwrap();
     restored.restore(&serde_json::from_str::<Vec<_>>(&text).unwrap());
     assert_eq!(
