--- a/src/routing/route/step.rs
+++ b/src/routing/route/step.rs
@@ -32,7 +32,7 @@
 /// Why there is no further submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteExhausted {
-    /// Whether every submission was rejected and none failed: the client can retry without harm.
+    /// Whether no submission failed, so that the client can retry without harm.
     pub rejected: bool,
     /// The call attempts of all submissions.
     pub attempts: u32,
