--- a/src/routing/model_inventory/tests.rs
+++ b/src/routing/model_inventory/tests.rs
@@ -34,13 +34,13 @@
     let mut inventory = ModelInventory::default();
     inventory.set_listed(
         id,
-        State::InService,
+        EndpointState::InService,
         Timestamp::from_micros(5),
         Some(&names(&["small", "large"])),
     );
     let models = inventory.servable_models(id, &catalog);
     assert_eq!(
-        [1, 2, 3].map(|m| models.ready_in(m)),
+        [1, 2, 3].map(|m| models.load_time(m)),
         [
             Some(Span::ZERO),
             Some(Span::ZERO),
@@ -61,7 +61,7 @@
     );
     let models = inventory.servable_models(id, &catalog);
     assert_eq!(
-        [1, 2, 3].map(|m| models.ready_in(m)),
+        [1, 2, 3].map(|m| models.load_time(m)),
         [Some(Span::ZERO), None, Some(Span::ZERO)]
     );
     assert_eq!(
@@ -71,7 +71,7 @@
     // after another start of the host, its reports from before are dropped and ignored
     inventory.set_listed(
         id,
-        State::InService,
+        EndpointState::InService,
         Timestamp::from_micros(9),
         Some(&names(&["small"])),
     );
@@ -80,7 +80,7 @@
         ReportOutcome::Unchanged
     );
     assert_eq!(
-        inventory.servable_models(id, &catalog).ready_in(3),
+        inventory.servable_models(id, &catalog).load_time(3),
         Some(Span::from_millis(800))
     );
 }
@@ -90,20 +90,25 @@
     let (catalog, mut inventory) = (catalog(), ModelInventory::default());
     inventory.set_listed(
         ReplicaId(1),
-        State::InService,
+        EndpointState::InService,
         Timestamp::ZERO,
         Some(&names(&["small"])),
     );
     inventory.set_listed(
         ReplicaId(2),
-        State::Terminating,
+        EndpointState::Draining,
         Timestamp::ZERO,
         Some(&names(&["large"])),
     );
-    inventory.set_listed(ReplicaId(3), State::InService, Timestamp::ZERO, None);
+    inventory.set_listed(
+        ReplicaId(3),
+        EndpointState::InService,
+        Timestamp::ZERO,
+        None,
+    );
     inventory.recount_hosts(&catalog);
     assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [2, 1, 2]);
-    inventory.set_listed(ReplicaId(3), State::Terminated, Timestamp::ZERO, None);
+    inventory.set_listed(ReplicaId(3), EndpointState::Removed, Timestamp::ZERO, None);
     inventory.recount_hosts(&catalog);
     assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [1, 0, 1]);
 }
--- a/tests/routing/fixtures.rs
+++ b/tests/routing/fixtures.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use stilespan::interface::{ReplicaId, Span, State, Timestamp};
+use stilespan::interface::{EndpointState, ReplicaId, Span, Timestamp};
 use stilespan::routing::{
     Catalog, CatalogError, ChatQuery, FirstTokenEstimates, ModelInventory, ModelNumbers, ModelSpec,
     Route, RouteExhausted, RouteStep, Submission, SubmissionEnd,
@@ -43,7 +43,7 @@
     for (index, name) in models.iter().enumerate() {
         inventory.set_listed(
             ReplicaId(index as u64),
-            State::InService,
+            EndpointState::InService,
             Timestamp::ZERO,
             Some(&[name.to_string()]),
         );
