--- a/src/edge/config.rs
+++ b/src/edge/config.rs
@@ -13,10 +13,10 @@
 use crate::config::{ConfigError, read_file};
 use crate::identity::{self, ApiKeys};
 use crate::interface::Span;
-use crate::routing::{Catalog, CatalogError, ModelNumbers, ModelSpec, Named};
+use crate::routing::{AliasSpec, Catalog, CatalogError, ModelNumbers, ModelSpec, PriceSpec};
 use crate::spend::{
-    Budget, BudgetLimit, BudgetNode, BudgetTree, MAX_BUDGET_TOKENS, MAX_DEPTH,
-    MICRO_TOKENS_PER_TOKEN, Period, PeriodLength, Price,
+    Budget, BudgetLimit, BudgetNode, BudgetTree, MAX_BUDGET_TOKENS, MAX_DEPTH, MicroTokens, Period,
+    PeriodLength, Price,
 };
 
 #[derive(Deserialize)]
@@ -199,14 +199,14 @@
                 format!("tokens must be 0 to {MAX_BUDGET_TOKENS}"),
             )
         };
-        let amount = tokens.ok_or_else(what)? * MICRO_TOKENS_PER_TOKEN;
+        let amount = MicroTokens::from_tokens(tokens.ok_or_else(what)?);
         if let Some(rate) = &b.per_second {
             if b.per.is_some() || b.refill.is_some() || b.zone.is_some() {
                 return Err(self.wrong(rate.span(), "a rate goes with tokens (its burst) alone"));
             }
             let rate = self.within(rate, "per_second", 0.001, 1e9)?;
             let refill_time =
-                Span::from_secs_f64(amount as f64 / MICRO_TOKENS_PER_TOKEN as f64 / rate);
+                Span::from_secs_f64(amount.as_u64() as f64 / MicroTokens::PER_TOKEN as f64 / rate);
             let name = b.name.clone().unwrap_or_else(|| "rate".into());
             return Ok(Budget {
                 name,
@@ -452,29 +452,29 @@
             }
         };
         let specs: Vec<ModelSpec> = raw.model.iter().map(spec).collect();
-        let alias = |a: &Spanned<RawAlias>| Named {
+        let alias = |a: &Spanned<RawAlias>| AliasSpec {
             name: a.get_ref().name.clone(),
-            value: a.get_ref().model.clone(),
+            model: a.get_ref().model.clone(),
         };
-        let aliases: Vec<Named<String>> = raw.alias.iter().map(alias).collect();
+        let aliases: Vec<AliasSpec> = raw.alias.iter().map(alias).collect();
         let price = |p: &Spanned<RawPrice>| {
             let p = p.get_ref();
-            Named {
-                name: p.model.clone(),
-                value: Price {
-                    per_prompt_token: p.prompt,
-                    per_output_token: p.answer,
+            PriceSpec {
+                model: p.model.clone(),
+                price: Price {
+                    per_prompt_token: MicroTokens::new(p.prompt),
+                    per_output_token: MicroTokens::new(p.answer),
                 },
             }
         };
-        let prices: Vec<Named<Price>> = raw.price.iter().map(price).collect();
+        let prices: Vec<PriceSpec> = raw.price.iter().map(price).collect();
         if specs.is_empty() {
             return Err(self.wrong(0..0, "no [[model]]"));
         }
         Catalog::build(&specs, &aliases, &prices, numbers).map_err(|fault| match fault {
-            CatalogError::Model(k, what) => self.wrong(raw.model[k].span(), what),
-            CatalogError::Alias(k, what) => self.wrong(raw.alias[k].span(), what),
-            CatalogError::Price(k, what) => self.wrong(raw.price[k].span(), what),
+            CatalogError::Model { index, problem } => self.wrong(raw.model[index].span(), problem),
+            CatalogError::Alias { index, problem } => self.wrong(raw.alias[index].span(), problem),
+            CatalogError::Price { index, problem } => self.wrong(raw.price[index].span(), problem),
         })
     }
 
--- a/src/edge/refusals.rs
+++ b/src/edge/refusals.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::api::ApiError;
-use crate::spend::{BudgetExceeded, ClockReading, MICRO_TOKENS_PER_TOKEN};
+use crate::spend::{BudgetExceeded, ClockReading};
 
 /// The error for a key that is not valid, or is missing.
 pub(super) fn bad_key(message: &str, code: &'static str) -> ApiError {
@@ -45,7 +45,7 @@
             .limit
             .saturating_sub(reading.spent)
             .saturating_sub(*reserved)
-            / MICRO_TOKENS_PER_TOKEN;
+            .tokens_rounded_down();
         let reset = (reading.refills_at - now.wall)
             .as_micros()
             .div_ceil(1_000_000);
@@ -54,7 +54,7 @@
                 "RateLimit-Policy",
                 format!(
                     "\"{budget}\";q={};w={window};qu=\"tokens\"",
-                    reading.limit / MICRO_TOKENS_PER_TOKEN
+                    reading.limit.tokens_rounded_down()
                 ),
             )
             .with("RateLimit", format!("\"{budget}\";r={left};t={reset}"));
