--- a/src/batch/front/batches.rs
+++ b/src/batch/http_api/batches.rs
@@ -8,7 +8,7 @@
 use crate::batch::jobs::{JobError, Order};
 use crate::net::http::{Body, Head};
 
-use super::{PAGE, Session, Wrong};
+use super::{PAGE, RequestError, Session};
 
 impl Session {
     /// `POST /v1/batches`.
@@ -16,7 +16,7 @@
         &mut self,
         head: &Head,
         body: &mut Body,
-    ) -> Result<Reply, Wrong> {
+    ) -> Result<Reply, RequestError> {
         let text = self.small(head, body).await?;
         let asked: Value = serde_json::from_slice(&text)
             .map_err(|e| ApiError::new(400, None, format!("the body is no JSON: {e}")))?;
--- a/src/batch/live.rs
+++ b/src/batch/http_api/chat.rs
@@ -1,30 +1,20 @@
 //! The live side of our own API on HTTP/1.1: chat requests, models and budgets. A thin front: what
 //! they mean stands in [`edge`](crate::edge).
 
-use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::{BufMut, BytesMut};
 use serde_json::Value;
 
-use super::front::{Session, Then, Wrong};
-use super::line::Assembly;
-use super::store::unix;
+use super::{RequestError, Response, Session};
 use crate::api::{ApiError, Reply};
-use crate::edge::Edge;
+use crate::batch::edge_access::EdgeAccess;
+use crate::batch::line::Assembly;
+use crate::batch::store::unix;
 use crate::edge::chat::Chat;
 use crate::edge::service::{Part, Serving, Work};
 use crate::net::http::{Body, Head, HttpError, LAST_CHUNK, put_chunk};
-use crate::request_ids::{RequestIds, is_request_id};
-
-/// What live requests need.
-#[derive(Clone)]
-pub struct Live {
-    /// The edge.
-    pub edge: Arc<Edge>,
-    /// The ids in use, over all fronts.
-    pub request_ids: RequestIds,
-}
+use crate::request_ids::is_request_id;
 
 impl Session {
     /// Answers what is the live side's; none where a request is not.
@@ -33,7 +23,7 @@
         head: &Head,
         body: &mut Body,
         path: &[&str],
-    ) -> Result<Option<Then>, Wrong> {
+    ) -> Result<Option<Response>, RequestError> {
         let Some(live) = self.front.live.clone() else {
             return Ok(None);
         };
@@ -54,10 +44,15 @@
             }
             _ => return Ok(None),
         };
-        Ok(Some(Then::Reply(Reply::json(reply))))
+        Ok(Some(Response::Reply(Reply::json(reply))))
     }
 
-    async fn chat(&mut self, live: &Live, head: &Head, body: &mut Body) -> Result<Then, Wrong> {
+    async fn chat(
+        &mut self,
+        live: &EdgeAccess,
+        head: &Head,
+        body: &mut Body,
+    ) -> Result<Response, RequestError> {
         let arrived = self.message(head, body).await?;
         let mut chat = Chat::read(&arrived.bytes)?;
         let received = arrived.received_at;
@@ -98,10 +93,10 @@
             biased;
             started = live.edge.start(work) => started,
             // its drop calls the attempt off and ends the reservation
-            () = self.peer.wait_for_disconnect() => return Err(Wrong::Http(HttpError::ConnectionClosed)),
+            () = self.peer.wait_for_disconnect() => return Err(RequestError::Http(HttpError::ConnectionClosed)),
         };
         match started {
-            Ok(serving) => Ok(Then::Chat(Box::new(serving), stream)),
+            Ok(serving) => Ok(Response::Chat(Box::new(serving), stream)),
             Err(declined) => Err(declined.error.into()),
         }
     }
--- a/src/batch/front/errors.rs
+++ b/src/batch/http_api/errors.rs
@@ -51,20 +51,20 @@
 }
 
 /// What goes wrong on a request: the client is told, or the connection is over.
-pub(in crate::batch) enum Wrong {
+pub(in crate::batch) enum RequestError {
     Api(ApiError),
     Http(HttpError),
 }
 
-impl From<HttpError> for Wrong {
-    fn from(e: HttpError) -> Wrong {
-        Wrong::Http(e)
+impl From<HttpError> for RequestError {
+    fn from(e: HttpError) -> RequestError {
+        RequestError::Http(e)
     }
 }
 
-impl<E: Into<ApiError>> From<E> for Wrong {
-    fn from(e: E) -> Wrong {
-        Wrong::Api(e.into())
+impl<E: Into<ApiError>> From<E> for RequestError {
+    fn from(e: E) -> RequestError {
+        RequestError::Api(e.into())
     }
 }
 
--- a/src/batch/front/mod.rs
+++ b/src/batch/http_api/mod.rs
@@ -1,6 +1,7 @@
 //! The batch front's HTTP API: files, resumable uploads and batches.
 
 mod batches;
+mod chat;
 mod content;
 mod errors;
 mod idempotency;
@@ -15,8 +16,8 @@
 use tracing::debug;
 
 use crate::api::{ApiError, Reply, reason};
+use crate::batch::edge_access::EdgeAccess;
 use crate::batch::jobs::Jobs;
-use crate::batch::live::Live;
 use crate::batch::store::{FileInfo, Store, StoreError};
 use crate::edge::service::Serving;
 use crate::edge::{Caller, Edge};
@@ -26,7 +27,7 @@
 };
 
 use batches::page;
-pub(in crate::batch) use errors::Wrong;
+use errors::RequestError;
 use idempotency::IdempotencyKeys;
 use uploads::offset;
 
@@ -49,27 +50,27 @@
 const PAGE: (usize, usize) = (20, 100);
 
 /// What all connections share.
-pub struct Front {
+pub struct HttpContext {
     store: Store,
     jobs: Jobs,
     endpoints: Vec<String>,
     longest: Duration,
     keys: IdempotencyKeys,
     room: Arc<Semaphore>,
-    pub(super) live: Option<Live>,
+    pub(super) live: Option<EdgeAccess>,
 }
 
-impl Front {
+impl HttpContext {
     /// A front to these files and batches.
     pub fn new(
         store: Store,
         jobs: Jobs,
         endpoints: Vec<String>,
         longest: Duration,
-        live: Option<Live>,
-    ) -> Front {
+        live: Option<EdgeAccess>,
+    ) -> HttpContext {
         let room = Arc::new(Semaphore::new(ROOM));
-        Front {
+        HttpContext {
             store,
             jobs,
             endpoints,
@@ -86,14 +87,14 @@
 }
 
 /// What is left to do for a request.
-pub(super) enum Then {
+pub(super) enum Response {
     Reply(Reply),
     Content(Box<(tokio::fs::File, FileInfo)>),
     Chat(Box<Serving>, bool),
 }
 
 /// Serves one client's connection to its end.
-pub async fn run(front: Arc<Front>, peer: ClientConnection) {
+pub async fn run(front: Arc<HttpContext>, peer: ClientConnection) {
     let mut session = Session {
         front,
         peer,
@@ -119,13 +120,13 @@
         // an answer ahead of the body's end leaves the rest of it on the connection
         let close = head.closes() || !body.is_complete() || session.peer.is_shutting_down();
         let written = match done {
-            Ok(Then::Reply(reply)) => session.reply(&head, reply, close).await,
-            Ok(Then::Content(content)) => session.content(&head, *content, close).await,
-            Ok(Then::Chat(serving, stream)) => {
+            Ok(Response::Reply(reply)) => session.reply(&head, reply, close).await,
+            Ok(Response::Content(content)) => session.content(&head, *content, close).await,
+            Ok(Response::Chat(serving, stream)) => {
                 session.chat_answer(&head, *serving, stream, close).await
             }
-            Err(Wrong::Api(e)) => session.error(&head, e, close).await,
-            Err(Wrong::Http(e)) => return session.turn_down(&e).await,
+            Err(RequestError::Api(e)) => session.error(&head, e, close).await,
+            Err(RequestError::Http(e)) => return session.turn_down(&e).await,
         };
         match written {
             Ok(()) if !close => {}
@@ -136,7 +137,7 @@
 }
 
 pub(super) struct Session {
-    pub(super) front: Arc<Front>,
+    pub(super) front: Arc<HttpContext>,
     pub(super) peer: ClientConnection,
     /// The id of the request at hand.
     pub(super) id: String,
@@ -195,11 +196,11 @@
         self.peer.write_last(text.as_bytes()).await
     }
 
-    async fn request(&mut self, head: &Head, body: &mut Body) -> Result<Then, Wrong> {
+    async fn request(&mut self, head: &Head, body: &mut Body) -> Result<Response, RequestError> {
         let path: Vec<&str> = head.path().trim_matches('/').split('/').collect();
         let Some(("v1", rest)) = path.split_first().map(|(first, rest)| (*first, rest)) else {
             if head.path() == "/_health" {
-                return Ok(Then::Reply(Reply::json(json!({"status": "ready"}))));
+                return Ok(Response::Reply(Reply::json(json!({"status": "ready"}))));
             }
             return Err(ApiError::new(404, None, "no such path").into());
         };
@@ -233,7 +234,7 @@
             }
             ("GET" | "HEAD", ["files", id, "content"]) => {
                 self.file(id)?;
-                return Ok(Then::Content(Box::new(store.read(id).await?)));
+                return Ok(Response::Content(Box::new(store.read(id).await?)));
             }
             ("POST", ["uploads"]) => self.create_upload(head, body).await?,
             ("HEAD" | "GET", ["uploads", id]) => {
@@ -257,7 +258,7 @@
             }
             _ => return Err(ApiError::new(404, None, "no such path").into()),
         };
-        Ok(Then::Reply(reply))
+        Ok(Response::Reply(reply))
     }
 
     /// A file of the caller's.
@@ -279,7 +280,11 @@
     }
 
     /// A body of the size of a message.
-    pub(super) async fn small(&mut self, head: &Head, body: &mut Body) -> Result<Bytes, Wrong> {
+    pub(super) async fn small(
+        &mut self,
+        head: &Head,
+        body: &mut Body,
+    ) -> Result<Bytes, RequestError> {
         Ok(self.message(head, body).await?.bytes)
     }
 
@@ -288,7 +293,7 @@
         &mut self,
         head: &Head,
         body: &mut Body,
-    ) -> Result<ReceivedBody, Wrong> {
+    ) -> Result<ReceivedBody, RequestError> {
         self.peer.send_continue(head).await?;
         let arrived = self
             .peer
--- a/src/batch/front/uploads.rs
+++ b/src/batch/http_api/uploads.rs
@@ -8,7 +8,7 @@
 use crate::edge::Caller;
 use crate::net::http::{Body, Framing, Head, HttpError, is_safe_header_value};
 
-use super::{FORM, STALLED, Session, Wrong};
+use super::{FORM, RequestError, STALLED, Session};
 
 impl Session {
     /// `POST /v1/files`: a form with `purpose` and `file`; the file streams to the spool.
@@ -16,7 +16,7 @@
         &mut self,
         head: &Head,
         body: &mut Body,
-    ) -> Result<Reply, Wrong> {
+    ) -> Result<Reply, RequestError> {
         let bad = |message: &str| ApiError::new(400, "file", message);
         let boundary = head
             .get("content-type")
@@ -64,7 +64,7 @@
         &mut self,
         head: &Head,
         body: &mut Body,
-    ) -> Result<Reply, Wrong> {
+    ) -> Result<Reply, RequestError> {
         let asked = self.small(head, body).await?;
         let total = head
             .get("upload-length")
@@ -127,7 +127,7 @@
         id: &str,
         head: &Head,
         body: &mut Body,
-    ) -> Result<Reply, Wrong> {
+    ) -> Result<Reply, RequestError> {
         let at = head
             .get("upload-offset")
             .and_then(|n| n.parse::<u64>().ok());
@@ -158,7 +158,7 @@
     store: &Store,
     mut form: multer::Multipart<'_>,
     caller: &Caller,
-) -> Result<FileInfo, Wrong> {
+) -> Result<FileInfo, RequestError> {
     let bad = |message: String| ApiError::new(400, "file", message);
     let mut purpose = None;
     let mut made: Option<FileInfo> = None;
--- a/src/batch/jobs.rs
+++ b/src/batch/jobs.rs
@@ -16,7 +16,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::sync::watch;
 
-use super::live::Live;
+use super::edge_access::EdgeAccess;
 use super::store::{Store, StoreError, unix};
 use super::window::Window;
 use crate::core::CoreHandle;
@@ -73,7 +73,7 @@
 #[derive(Clone)]
 pub struct Jobs {
     core: CoreHandle,
-    live: Option<Live>,
+    live: Option<EdgeAccess>,
     store: Store,
     window: Window,
     options: Arc<Options>,
@@ -107,7 +107,7 @@
         window: Window,
         options: Options,
         ending: watch::Receiver<bool>,
-        live: Option<Live>,
+        live: Option<EdgeAccess>,
     ) -> Jobs {
         let (options, batches) = (Arc::new(options), Arc::default());
         let log = Arc::new(LogLimit::new());
--- a/src/batch/jobs/call.rs
+++ b/src/batch/jobs/call.rs
@@ -8,8 +8,8 @@
 
 use super::Options;
 use super::batch::Stop;
+use crate::batch::edge_access::EdgeAccess;
 use crate::batch::line::{Ask, Assembly, LineError};
-use crate::batch::live::Live;
 use crate::batch::store::unix;
 use crate::batch::window::{Place, Window};
 use crate::core::{Answer, Chunk, CoreHandle};
@@ -24,7 +24,7 @@
 /// One line's way through the core.
 pub(super) struct Call {
     pub(super) core: CoreHandle,
-    pub(super) live: Option<Live>,
+    pub(super) live: Option<EdgeAccess>,
     pub(super) caller: Caller,
     pub(super) window: Window,
     pub(super) options: Arc<Options>,
@@ -59,7 +59,7 @@
     /// Through the edge: the line's own model, charged to the key that created the batch.
     async fn run_at_edge(
         &mut self,
-        live: &Live,
+        live: &EdgeAccess,
         ask: &Ask,
         trace: &str,
         place: Place,
--- a/src/batch/mod.rs
+++ b/src/batch/mod.rs
@@ -2,10 +2,10 @@
 //! Its HTTP API follows the public OpenAI-style Files and Batches API, with resumable uploads for
 //! poor links.
 
-pub mod front;
+pub mod edge_access;
+pub mod http_api;
 pub mod jobs;
 pub mod line;
-pub mod live;
 pub mod store;
 pub mod window;
 
@@ -109,7 +109,7 @@
 /// The batch front, listening and ready to serve.
 pub struct Ready {
     listener: TcpListener,
-    front: Arc<front::Front>,
+    front: Arc<http_api::HttpContext>,
     context: ListenerContext,
     jobs: jobs::Jobs,
 }
@@ -120,7 +120,7 @@
     config: &Config,
     core: CoreHandle,
     context: ListenerContext,
-    live: Option<live::Live>,
+    live: Option<edge_access::EdgeAccess>,
 ) -> Result<Ready, RunError> {
     let class = config.classes.iter().position(|c| *c == options.class);
     let class = class.ok_or(ConfigError::Missing(
@@ -156,7 +156,7 @@
         live.clone(),
     );
     let longest = Duration::from_secs(options.limits.window_s);
-    let front = Arc::new(front::Front::new(
+    let front = Arc::new(http_api::HttpContext::new(
         store,
         jobs.clone(),
         options.endpoints,
@@ -179,8 +179,14 @@
 
     /// Serves until the program's end, with every line's outcome written.
     pub async fn serve(self) {
-        let handle = listener::handler(self.front, front::run);
-        listener::serve(self.context, front::CLIENT_TIMEOUTS, self.listener, handle).await;
+        let handle = listener::handler(self.front, http_api::run);
+        listener::serve(
+            self.context,
+            http_api::CLIENT_TIMEOUTS,
+            self.listener,
+            handle,
+        )
+        .await;
         self.jobs.settle().await;
     }
 }
--- a/src/batch/store.rs
+++ b/src/batch/store.rs
@@ -64,7 +64,7 @@
 impl Store {
     /// Opens a store in a folder. Files that an earlier program left there are removed: nobody
     /// knows them now.
-    pub fn open(dir: &Path, limits: Limits) -> Result<Store, StoreError> {
+    pub fn open(dir: &Path, limits: Limits) -> std::io::Result<Store> {
         Store::open_on(dir, limits, Arc::new(Disk))
     }
 
@@ -73,7 +73,7 @@
         dir: &Path,
         limits: Limits,
         writes: Arc<dyn FileSystem>,
-    ) -> Result<Store, StoreError> {
+    ) -> std::io::Result<Store> {
         std::fs::create_dir_all(dir)?;
         for left in std::fs::read_dir(dir)? {
             let path = left?.path();
--- a/src/error.rs
+++ b/src/error.rs
@@ -5,7 +5,6 @@
 
 use thiserror::Error;
 
-use crate::batch::store::StoreError;
 use crate::config::ConfigError;
 
 /// Why the router couldn't start or go on.
@@ -31,12 +30,12 @@
         source: io::Error,
     },
     /// The directory of the batch service's files can't be used.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: the spool: {source}", path.display())]
     Spool {
         /// The directory.
         path: PathBuf,
-        /// The error of the store in it.
-        source: StoreError,
+        /// The error of the file system.
+        source: io::Error,
     },
     /// The runtime or the signal handlers can't be set up.
     #[error("{0}")]
@@ -61,7 +60,7 @@
     }
 
     /// A spool that can't be used.
-    pub fn spool(path: &Path, source: StoreError) -> RunError {
+    pub fn spool(path: &Path, source: io::Error) -> RunError {
         RunError::Spool {
             path: path.to_path_buf(),
             source,
--- a/src/error/tests.rs
+++ b/src/error/tests.rs
@@ -22,7 +22,7 @@
         },
         RunError::Spool {
             path: "/spool".into(),
-            source: StoreError::Io(in_use()),
+            source: in_use(),
         },
         RunError::System(in_use()),
     ]
--- a/src/net/listener/mod.rs
+++ b/src/net/listener/mod.rs
@@ -3,7 +3,7 @@
 //! Owns accepting connections within the limit until the process ends, each connection's state, and
 //! how it is closed. Knows HTTP/1.1 heads and bodies only as far as to find where a request ends;
 //! what a request means and how it is answered is left to the protocols that use it
-//! (`net::downstream` and `batch::front`).
+//! (`net::downstream` and `batch::http_api`).
 
 mod acceptor;
 mod body;
--- a/src/router/open/fronts.rs
+++ b/src/router/open/fronts.rs
@@ -10,7 +10,7 @@
 
 use super::actors::Actors;
 use crate::batch;
-use crate::batch::live::Live;
+use crate::batch::edge_access::EdgeAccess;
 use crate::config::Config;
 use crate::error::RunError;
 use crate::net::downstream::DownstreamContext;
@@ -34,7 +34,7 @@
         drained: watch::channel(None).1,
         ..listener_context.clone()
     };
-    let live = actors.edge.clone().map(|edge| Live {
+    let live = actors.edge.clone().map(|edge| EdgeAccess {
         edge,
         request_ids: request_ids.clone(),
     });
