--- a/src/batch/http_api/batches.rs
+++ b/src/batch/http_api/batches.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 use crate::api::{ApiError, Reply};
-use crate::batch::jobs::{JobError, Order};
+use crate::batch::jobs::{CompletionWindow, JobError, NewBatch};
 use crate::net::http::{Body, Head};
 
 use super::{PAGE, RequestError, Session};
@@ -22,7 +22,7 @@
             .map_err(|e| ApiError::new(400, None, format!("the body is no JSON: {e}")))?;
         let order = self.order(&asked)?;
         // a file of another's is none
-        self.file(&order.input).map_err(JobError::File)?;
+        self.file(&order.input_file).map_err(JobError::File)?;
         let key = self.key(head, "batch");
         if let Some(key) = &key
             && let Some(id) = self.front.keys.take(key, &text)?
@@ -38,7 +38,7 @@
         Ok(Reply::json(made?))
     }
 
-    pub(super) fn order(&self, asked: &Value) -> Result<Order, ApiError> {
+    pub(super) fn order(&self, asked: &Value) -> Result<NewBatch, ApiError> {
         let text = |name: &'static str| {
             let value = asked[name]
                 .as_str()
@@ -74,12 +74,15 @@
                 "metadata must be an object of 16 entries at most",
             ));
         }
-        Ok(Order {
-            input,
+        Ok(NewBatch {
+            input_file: input,
             endpoint,
-            window: (window, length),
+            completion_window: CompletionWindow {
+                text: window,
+                duration: length,
+            },
             metadata,
-            caller: self.caller.clone(),
+            owner: self.caller.clone(),
         })
     }
 }
--- a/src/batch/http_api/chat.rs
+++ b/src/batch/http_api/chat.rs
@@ -8,9 +8,9 @@
 
 use super::{RequestError, Response, Session};
 use crate::api::{ApiError, Reply};
+use crate::batch::completion::{CompletionBuilder, CompletionDefaults};
 use crate::batch::edge_access::EdgeAccess;
-use crate::batch::line::Assembly;
-use crate::batch::store::unix;
+use crate::batch::store::unix_seconds;
 use crate::edge::chat::Chat;
 use crate::edge::service::{Part, Serving, Work};
 use crate::net::http::{Body, Head, HttpError, LAST_CHUNK, put_chunk};
@@ -154,7 +154,7 @@
         mut serving: Serving,
         close: bool,
     ) -> Result<(), HttpError> {
-        let mut all = Assembly::default();
+        let mut all = CompletionBuilder::default();
         let whole = loop {
             let part = tokio::select! {
                 biased;
@@ -171,8 +171,12 @@
         let model = serving.model().to_string();
         let answer = match whole {
             true => all
-                .finish(serving.trace.id(), unix(), &Value::from(model.clone()))
-                .map_err(|e| broken(e.message)),
+                .finish(CompletionDefaults {
+                    trace_id: serving.trace.id(),
+                    created_at: unix_seconds(),
+                    model: &Value::from(model.clone()),
+                })
+                .map_err(|e| broken(e.to_string())),
             false => Err(broken("the answer broke off; it may have run".into())),
         };
         let reply = match answer {
--- a/src/batch/http_api/content.rs
+++ b/src/batch/http_api/content.rs
@@ -3,7 +3,7 @@
 use tokio::io::{AsyncReadExt, AsyncSeekExt};
 
 use crate::api::{ApiError, reason};
-use crate::batch::store::FileInfo;
+use crate::batch::store::StoredFile;
 use crate::net::http::{Head, HttpError};
 use crate::net::listener::RequestOutcome;
 
@@ -14,9 +14,10 @@
     pub(super) async fn content(
         &mut self,
         head: &Head,
-        (mut file, info): (tokio::fs::File, FileInfo),
+        stored: StoredFile,
         close: bool,
     ) -> Result<(), HttpError> {
+        let StoredFile { mut file, info } = stored;
         let tag = format!("\"{}-{}\"", info.id, info.bytes);
         // a range of another state of the file would be no help: then the whole of it goes out
         let same = head.get("if-range").is_none_or(|t| t == tag);
--- a/src/batch/http_api/errors.rs
+++ b/src/batch/http_api/errors.rs
@@ -15,8 +15,8 @@
     fn from(e: StoreError) -> ApiError {
         let status = match e {
             StoreError::Unknown => 404,
-            StoreError::Busy | StoreError::Unfinished | StoreError::Offset(_) => 409,
-            StoreError::TooLarge(_) => 413,
+            StoreError::Busy | StoreError::Incomplete | StoreError::WrongOffset { .. } => 409,
+            StoreError::TooLarge { .. } => 413,
             StoreError::Full => 507,
             StoreError::Io(ref e)
                 if matches!(e.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded) =>
@@ -27,7 +27,7 @@
         };
         let error = ApiError::new(status, None, e.to_string());
         let error = error.retry_in(matches!(status, 503 | 507).then_some(STORE_RETRY));
-        if let StoreError::Offset(at) = e {
+        if let StoreError::WrongOffset { end: at } = e {
             error.with("Upload-Offset", at.to_string())
         } else {
             error
--- a/src/batch/http_api/errors/tests.rs
+++ b/src/batch/http_api/errors/tests.rs
@@ -24,7 +24,7 @@
         503
     );
     assert_eq!(
-        ApiError::from(JobError::File(StoreError::Unfinished)).status,
+        ApiError::from(JobError::File(StoreError::Incomplete)).status,
         400
     );
 }
--- a/src/batch/http_api/mod.rs
+++ b/src/batch/http_api/mod.rs
@@ -17,8 +17,8 @@
 
 use crate::api::{ApiError, Reply, reason};
 use crate::batch::edge_access::EdgeAccess;
-use crate::batch::jobs::Jobs;
-use crate::batch::store::{FileInfo, Store, StoreError};
+use crate::batch::jobs::BatchJobs;
+use crate::batch::store::{FileInfo, Store, StoreError, StoredFile};
 use crate::edge::service::Serving;
 use crate::edge::{Caller, Edge};
 use crate::net::http::{Body, Head, HttpError, MAX_BODY_BYTES};
@@ -52,7 +52,7 @@
 /// What all connections share.
 pub struct HttpContext {
     store: Store,
-    jobs: Jobs,
+    jobs: BatchJobs,
     endpoints: Vec<String>,
     longest: Duration,
     keys: IdempotencyKeys,
@@ -64,7 +64,7 @@
     /// A front to these files and batches.
     pub fn new(
         store: Store,
-        jobs: Jobs,
+        jobs: BatchJobs,
         endpoints: Vec<String>,
         longest: Duration,
         live: Option<EdgeAccess>,
@@ -89,7 +89,7 @@
 /// What is left to do for a request.
 pub(super) enum Response {
     Reply(Reply),
-    Content(Box<(tokio::fs::File, FileInfo)>),
+    Content(Box<StoredFile>),
     Chat(Box<Serving>, bool),
 }
 
--- a/src/batch/http_api/uploads.rs
+++ b/src/batch/http_api/uploads.rs
@@ -4,7 +4,7 @@
 use tokio::sync::mpsc;
 
 use crate::api::{ApiError, Reply};
-use crate::batch::store::{FileInfo, Store, StoreError};
+use crate::batch::store::{FileInfo, NewFile, Store, StoreError};
 use crate::edge::Caller;
 use crate::net::http::{Body, Framing, Head, HttpError, is_safe_header_value};
 
@@ -22,9 +22,10 @@
             .get("content-type")
             .and_then(|t| multer::parse_boundary(t).ok());
         let boundary = boundary.ok_or_else(|| bad("the body must be multipart/form-data"))?;
-        let most = self.front.store.most() + FORM;
+        let max_bytes = self.front.store.max_file_bytes();
+        let most = max_bytes + FORM;
         if matches!(head.framing(false)?, Framing::Length(n) if n > most) {
-            return Err(StoreError::TooLarge(self.front.store.most()).into());
+            return Err(StoreError::TooLarge { max_bytes }.into());
         }
         self.peer.send_continue(head).await?;
         let (to, mut from) = mpsc::channel::<Result<Bytes, std::io::Error>>(4);
@@ -109,11 +110,13 @@
         name: &str,
         total: u64,
     ) -> Result<FileInfo, StoreError> {
-        let info = self
-            .front
-            .store
-            .create(name, "batch", Some(total), &self.caller)
-            .await?;
+        let new = NewFile {
+            name,
+            purpose: "batch",
+            total_bytes: Some(total),
+            owner: &self.caller,
+        };
+        let info = self.front.store.create(new).await?;
         if total == 0 {
             self.front.store.append(&info.id, 0).await?.finish()
         } else {
@@ -146,7 +149,7 @@
             appender.write(&bytes).await?;
         }
         let mut info = self.front.store.info(id)?;
-        if info.total == Some(info.bytes) {
+        if info.total_bytes == Some(info.bytes) {
             info = appender.finish()?;
         }
         Ok(Reply::empty(204, offset(&info)))
@@ -170,7 +173,13 @@
                     .filter(|n| is_safe_header_value(n))
                     .unwrap_or("upload.jsonl")
                     .to_string();
-                let info = made.insert(store.create(&name, "batch", None, caller).await?);
+                let new = NewFile {
+                    name: &name,
+                    purpose: "batch",
+                    total_bytes: None,
+                    owner: caller,
+                };
+                let info = made.insert(store.create(new).await?);
                 let mut appender = store.append(&info.id, 0).await?;
                 while let Some(bytes) = field.chunk().await.map_err(|e| bad(e.to_string()))? {
                     appender.write(&bytes).await?;
@@ -208,7 +217,7 @@
 
 pub(super) fn offset(info: &FileInfo) -> Vec<(&'static str, String)> {
     let mut headers = vec![("Upload-Offset", info.bytes.to_string())];
-    headers.extend(info.total.map(|t| ("Upload-Length", t.to_string())));
+    headers.extend(info.total_bytes.map(|t| ("Upload-Length", t.to_string())));
     headers.push(("Cache-Control", "no-store".into()));
     headers
 }
--- /dev/null
+++ b/src/batch/jobs/edge_submission.rs
@@ -0,0 +1,142 @@
+//! Submits lines to the edge: each goes to its own model, and is charged to the key that created
+//! the batch.
+
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+
+use super::line_worker::{LineWorker, MIN_RESUBMIT_DELAY};
+use crate::batch::completion::{CompletionBuilder, CompletionDefaults};
+use crate::batch::concurrency::Permit;
+use crate::batch::edge_access::EdgeAccess;
+use crate::batch::line::{LineError, LineRequest};
+use crate::batch::store::unix_seconds;
+use crate::edge::service::{Declined, Part, Serving, Work};
+
+/// How a submission ended that did not fail.
+enum Submission {
+    /// With this completion.
+    Completed(Value),
+    /// Before any attempt; the request may be submitted again.
+    Rejected {
+        /// The Retry-After time, where the edge gave one.
+        retry_after: Option<Duration>,
+    },
+    /// The budget is exhausted for now.
+    OutOfBudget {
+        /// When it is refilled.
+        refilled_in: Duration,
+    },
+}
+
+impl LineWorker {
+    /// Submits a line to the edge until an attempt has been made.
+    pub(super) async fn run_on_edge(
+        &self,
+        edge: &EdgeAccess,
+        line: &LineRequest,
+        trace_id: &str,
+        permit: Permit,
+    ) -> Result<Value, LineError> {
+        let mut backoff = LineWorker::resubmit_backoff();
+        let mut permit = permit;
+        loop {
+            match self.submit_to_edge(edge, line, trace_id, &permit).await? {
+                Submission::Completed(completion) => return Ok(completion),
+                Submission::Rejected { retry_after } => {
+                    permit.rejected();
+                    self.wait_to_resubmit(&mut backoff, retry_after).await?;
+                }
+                Submission::OutOfBudget { refilled_in } => {
+                    // other lines may be in flight meanwhile
+                    drop(permit);
+                    self.stop.sleep(refilled_in.max(MIN_RESUBMIT_DELAY)).await?;
+                    permit = self.context.concurrency.acquire().await;
+                }
+            }
+        }
+    }
+
+    async fn submit_to_edge(
+        &self,
+        edge: &EdgeAccess,
+        line: &LineRequest,
+        trace_id: &str,
+        permit: &Permit,
+    ) -> Result<Submission, LineError> {
+        let chat = line.chat.clone();
+        let chat = chat.map_err(|e| LineError::InvalidBody(e.message))?;
+        let Some(trace) = edge.request_ids.acquire(trace_id) else {
+            return Err(LineError::Internal("the line's id is in use".into()));
+        };
+        let options = &self.context.options;
+        let submitted_at = Instant::now();
+        let work = Work {
+            caller: self.owner.clone(),
+            chat,
+            class: Some(options.class_name.clone()),
+            patience: Some(options.request_timeout),
+            received: submitted_at,
+            trace,
+            live: false,
+            client: None,
+        };
+        let mut answer = match edge.edge.start(work).await {
+            Ok(answer) => answer,
+            Err(declined) => return after_rejection(declined),
+        };
+        let start_latency = submitted_at.elapsed();
+        let builder = collect(&mut answer).await.ok_or(LineError::AnswerBroken)?;
+        permit.completed(start_latency);
+        let completion = builder.finish(CompletionDefaults {
+            trace_id,
+            created_at: unix_seconds(),
+            model: &answer.model().into(),
+        })?;
+        Ok(Submission::Completed(completion))
+    }
+}
+
+/// Whether a line that the edge rejected may be submitted again, and when.
+fn after_rejection(declined: Declined) -> Result<Submission, LineError> {
+    let Declined {
+        error,
+        attempts,
+        budget,
+        retry_in,
+        ..
+    } = declined;
+    match budget {
+        Some(Some(refilled_in)) => return Ok(Submission::OutOfBudget { refilled_in }),
+        Some(None) => return Err(LineError::BudgetExhausted(error.message)),
+        None => {}
+    }
+    match error.status {
+        401 => return Err(LineError::KeyRevoked),
+        400..=499 => {
+            return Err(LineError::Rejected {
+                code: error.code.unwrap_or("invalid_body"),
+                message: error.message,
+            });
+        }
+        _ => {}
+    }
+    if attempts > 0 {
+        return Err(LineError::AttemptsFailed);
+    }
+    Ok(Submission::Rejected {
+        retry_after: retry_in,
+    })
+}
+
+/// Collects an answer; none if it breaks off.
+async fn collect(answer: &mut Serving) -> Option<CompletionBuilder> {
+    let mut builder = CompletionBuilder::default();
+    loop {
+        match answer.next().await {
+            Part::Data(bytes) => builder.add(&bytes),
+            Part::Done => return Some(builder),
+            Part::Broken => return None,
+        }
+    }
+}
--- /dev/null
+++ b/src/batch/jobs/line_worker.rs
@@ -0,0 +1,59 @@
+//! Runs one line: submits its request until an attempt has been made, or the batch is to stop.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use serde_json::Value;
+
+use super::context::JobContext;
+use super::stop::StopSignal;
+use crate::backoff::Backoff;
+use crate::batch::concurrency::Permit;
+use crate::batch::line::{LineError, LineRequest};
+use crate::edge::Caller;
+
+/// The shortest delay before a request that was rejected is submitted again.
+pub(super) const MIN_RESUBMIT_DELAY: Duration = Duration::from_millis(100);
+/// The longest delay without a Retry-After.
+const MAX_RESUBMIT_DELAY: Duration = Duration::from_secs(5);
+
+/// Runs one line.
+pub(super) struct LineWorker {
+    pub(super) context: Arc<JobContext>,
+    /// Who created the batch, and pays for it.
+    pub(super) owner: Caller,
+    /// When to stop submitting the request.
+    pub(super) stop: StopSignal,
+}
+
+impl LineWorker {
+    /// Runs the line. It holds the permit while its request is in flight.
+    pub(super) async fn run(
+        &self,
+        line: &LineRequest,
+        trace_id: &str,
+        permit: Permit,
+    ) -> Result<Value, LineError> {
+        match &self.context.edge {
+            Some(edge) => self.run_on_edge(edge, line, trace_id, permit).await,
+            None => self.run_on_core(line, trace_id, permit).await,
+        }
+    }
+
+    /// The delays between submissions that were rejected.
+    pub(super) fn resubmit_backoff() -> Backoff {
+        Backoff::new(MIN_RESUBMIT_DELAY, MAX_RESUBMIT_DELAY)
+    }
+
+    /// Waits until a request that was rejected is to be submitted again.
+    pub(super) async fn wait_to_resubmit(
+        &self,
+        backoff: &mut Backoff,
+        retry_after: Option<Duration>,
+    ) -> Result<(), LineError> {
+        let next_delay = backoff.next_delay();
+        let delay = retry_after.unwrap_or(next_delay);
+        self.stop.sleep(delay.max(MIN_RESUBMIT_DELAY)).await?;
+        Ok(())
+    }
+}
--- a/src/batch/jobs/lines.rs
+++ b/src/batch/jobs/lines.rs
@@ -1,38 +1,50 @@
-//! Reading a batch's input file line by line.
+//! Reads the input file of a batch line by line.
 
 use std::ops::Range;
 
 use tokio::fs::File;
 use tokio::io::{AsyncReadExt, Take};
 
-/// Read from the spool at a time.
-const READ: usize = 16 << 10;
+/// How much is read from the spool at a time.
+const READ_SIZE_BYTES: usize = 16 << 10;
 
-/// A file's lines, one at a time. Blank lines are passed over; one over the limit comes without its
-/// text.
-pub(super) struct Lines {
+/// The lines of a file. Blank lines are skipped but numbered; of a line over the limit only the
+/// number is known. At most the limit and one read are buffered.
+pub(super) struct LineReader {
     file: Take<File>,
-    most: usize,
+    max_line_bytes: usize,
+    buffer: Vec<u8>,
+    /// Where the next line begins in the buffer.
+    next_line: usize,
+    /// The number of the current line, from 1.
     number: u64,
-    /// Where the current line's text lies in `held`; none for one over the limit.
+    /// The text of the current line in the buffer; none if it is over the limit.
     text: Option<Range<usize>>,
-    held: Vec<u8>,
-    taken: usize,
-    over: bool,
-    ended: bool,
+    /// The start of the next line was over the limit and has been dropped.
+    is_over_limit: bool,
+    is_at_end: bool,
 }
 
-impl Lines {
-    pub(super) fn new(file: Take<File>, most: usize) -> Lines {
-        Lines {
+/// A line of the file.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Line<'a> {
+    /// Its number, from 1.
+    pub(super) number: u64,
+    /// Its text, without the line break; none if it is over the limit.
+    pub(super) text: Option<&'a [u8]>,
+}
+
+impl LineReader {
+    pub(super) fn new(file: Take<File>, max_line_bytes: usize) -> LineReader {
+        LineReader {
             file,
-            most,
+            max_line_bytes,
+            buffer: Vec::new(),
+            next_line: 0,
             number: 0,
             text: None,
-            held: Vec::new(),
-            taken: 0,
-            over: false,
-            ended: false,
+            is_over_limit: false,
+            is_at_end: false,
         }
     }
 
@@ -41,46 +53,55 @@
         self.file.into_inner()
     }
 
-    /// The line that [`Lines::advance`] came to: its number and text.
-    pub(super) fn current(&self) -> (u64, Option<&[u8]>) {
-        (self.number, self.text.clone().map(|text| &self.held[text]))
+    /// The line that [`LineReader::advance`] went to.
+    pub(super) fn current(&self) -> Line<'_> {
+        Line {
+            number: self.number,
+            text: self.text.clone().map(|text| &self.buffer[text]),
+        }
     }
 
-    /// Goes on to the next line; whether there is one. After an error it can be called again.
+    /// Goes to the next line; returns whether there is one. It can be called again after an error.
     pub(super) async fn advance(&mut self) -> std::io::Result<bool> {
         loop {
-            let rest = &self.held[self.taken..];
-            let end = rest.iter().position(|&b| b == b'\n');
-            if end.is_none() && !self.ended {
-                if rest.len() > self.most {
-                    // the rest of such a line is read past without holding it
-                    self.over = true;
-                    self.taken = self.held.len();
-                }
-                self.held.drain(..self.taken);
-                self.taken = 0;
-                let had = self.held.len();
-                self.held.resize(had + READ, 0);
-                let read = self.file.read(&mut self.held[had..]).await;
-                self.held
-                    .truncate(had + read.as_ref().copied().unwrap_or(0));
-                self.ended = read? == 0;
+            let unread = &self.buffer[self.next_line..];
+            let line_break = unread.iter().position(|&byte| byte == b'\n');
+            if line_break.is_none() && !self.is_at_end {
+                self.read_more().await?;
                 continue;
             }
-            let len = end.unwrap_or(rest.len());
-            let from = self.taken;
-            if end.is_none() && len == 0 && !self.over {
+            let length = line_break.unwrap_or(unread.len());
+            if line_break.is_none() && length == 0 && !self.is_over_limit {
                 return Ok(false);
             }
-            self.taken += (len + 1).min(rest.len());
+            let text = self.next_line..self.next_line + length;
+            self.next_line += (length + 1).min(unread.len());
             self.number += 1;
-            let over = std::mem::take(&mut self.over) || len > self.most;
-            let blank = !over && self.held[from..from + len].trim_ascii().is_empty();
-            if blank {
-                continue;
+            if std::mem::take(&mut self.is_over_limit) || length > self.max_line_bytes {
+                self.text = None;
+                return Ok(true);
             }
-            self.text = (!over).then_some(from..from + len);
-            return Ok(true);
+            if !self.buffer[text.clone()].trim_ascii().is_empty() {
+                self.text = Some(text);
+                return Ok(true);
+            }
+        }
+    }
+
+    async fn read_more(&mut self) -> std::io::Result<()> {
+        if self.buffer.len() - self.next_line > self.max_line_bytes {
+            // the rest of the line is skipped without being held
+            self.is_over_limit = true;
+            self.next_line = self.buffer.len();
         }
+        self.buffer.drain(..self.next_line);
+        self.next_line = 0;
+        let end = self.buffer.len();
+        self.buffer.resize(end + READ_SIZE_BYTES, 0);
+        let read = self.file.read(&mut self.buffer[end..]).await;
+        let read_bytes = read.as_ref().copied().unwrap_or(0);
+        self.buffer.truncate(end + read_bytes);
+        self.is_at_end = read? == 0;
+        Ok(())
     }
 }
--- a/src/batch/jobs/retry.rs
+++ b/src/batch/jobs/retry.rs
@@ -1,74 +1,88 @@
-//! Waiting for a spool that fails for a while: a batch that was taken on goes on once it can.
+//! Retries operations on a spool that fails for a while, so that batches go on once it works again.
 
 use std::io::ErrorKind;
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use tokio::time::sleep;
 use tracing::warn;
 
-use super::run::Run;
+use super::stop::StopSignal;
 use crate::backoff::Backoff;
 use crate::batch::store::StoreError;
+use crate::log_limit::LogLimit;
 
-/// The first wait before another try, and the longest.
-const WAITS: (Duration, Duration) = (Duration::from_millis(20), Duration::from_secs(5));
-/// A batch whose rest isn't to be run any more goes on trying for so long.
-const AFTER_STOP: Duration = Duration::from_secs(2);
+/// The delay before the first retry: short, as a full spool may have space again at once.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// The longest delay between retries: an operator who has mended the spool waits no longer.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
+/// How long operations are still retried once the batch is to stop.
+const RETRY_TIME_AFTER_STOP: Duration = Duration::from_secs(2);
 
-/// The tries of one operation on the spool.
-pub(super) struct Retry {
+/// The retries of one operation.
+pub(super) struct RetryState {
     backoff: Backoff,
-    /// The last try, once the batch is to stop.
-    until: Option<Instant>,
+    /// When the last retry begins, once the batch is to stop.
+    give_up_at: Option<Instant>,
 }
 
-impl Retry {
-    /// Nothing has failed yet.
-    pub(super) fn new() -> Retry {
-        Retry {
-            backoff: Backoff::new(WAITS.0, WAITS.1),
-            until: None,
+impl RetryState {
+    /// The state before the first failure.
+    pub(super) fn new() -> RetryState {
+        RetryState {
+            backoff: Backoff::new(FIRST_RETRY_DELAY, MAX_RETRY_DELAY),
+            give_up_at: None,
         }
     }
 }
 
-/// Whether the error may pass by itself, or once files are deleted.
-fn passes(error: &StoreError) -> bool {
-    match error {
-        StoreError::Full => true,
-        StoreError::Io(e) => e.kind() != ErrorKind::NotFound,
-        _ => false,
-    }
+/// Retries the operations of one batch on the spool.
+#[derive(Clone)]
+pub(super) struct SpoolRetrier {
+    /// The batch, for the log.
+    pub(super) batch_id: String,
+    /// When to give up.
+    pub(super) stop: StopSignal,
+    /// Shared by all batches, as the spool fails for all of them.
+    pub(super) log_limit: Arc<LogLimit>,
 }
 
-impl Run {
-    /// Waits before an operation that failed is tried again; gives its error back when it isn't to
-    /// be.
+impl SpoolRetrier {
+    /// Waits until an operation that failed is to be retried; returns its error if it is not.
     pub(super) async fn wait_to_retry(
         &self,
-        retry: &mut Retry,
+        state: &mut RetryState,
         error: StoreError,
     ) -> Result<(), StoreError> {
-        if !passes(&error) || retry.until.is_some_and(|until| Instant::now() >= until) {
+        let is_late = |at| Instant::now() >= at;
+        if !is_transient(&error) || state.give_up_at.is_some_and(is_late) {
             return Err(error);
         }
         self.log_retry(&error);
-        let wait = retry.backoff.next_delay();
-        match retry.until {
-            Some(until) => sleep(wait.min(until.saturating_duration_since(Instant::now()))).await,
-            None => tokio::select! {
-                () = sleep(wait) => {}
-                _ = self.stop() => {
-                    *retry = Retry { until: Some(Instant::now() + AFTER_STOP), ..Retry::new() };
-                }
-            },
+        let delay = state.backoff.next_delay();
+        if let Some(give_up_at) = state.give_up_at {
+            sleep(delay.min(give_up_at.saturating_duration_since(Instant::now()))).await;
+        } else if self.stop.sleep(delay).await.is_err() {
+            *state = RetryState {
+                give_up_at: Some(Instant::now() + RETRY_TIME_AFTER_STOP),
+                ..RetryState::new()
+            };
         }
         Ok(())
     }
 
     fn log_retry(&self, error: &StoreError) {
-        if let Some(omitted) = self.jobs.log.admit(Instant::now()) {
-            warn!("{}: {error}; it is tried again{omitted}", self.id);
+        if let Some(omitted) = self.log_limit.admit(Instant::now()) {
+            warn!("{}: {error}; it will be retried{omitted}", self.batch_id);
         }
     }
 }
+
+/// Whether an operation may succeed later, by itself or once files have been deleted.
+fn is_transient(error: &StoreError) -> bool {
+    match error {
+        StoreError::Full => true,
+        StoreError::Io(e) => e.kind() != ErrorKind::NotFound,
+        _ => false,
+    }
+}
--- a/src/batch/jobs/tests.rs
+++ b/src/batch/jobs/tests.rs
@@ -5,78 +5,103 @@
 use tokio::sync::mpsc;
 
 use super::*;
-use crate::batch::store::Limits;
-use crate::core::CoreLoad;
+use crate::batch::concurrency::ConcurrencyLimit;
+use crate::batch::store::{FileInfo, NewFile, Store, StoreLimits};
+use crate::core::{CoreHandle, CoreLoad};
+use crate::log_limit::LogLimit;
 use crate::ops::metrics::Metrics;
 use crate::storage::failing_disk::FailingDisk;
 use crate::storage::simulated_disk::Fault;
 
-const LONG: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const LINES: usize = 6;
 
-/// Batches over a core that has ended: every line comes to an outcome at once.
-struct Bench {
-    jobs: Jobs,
+/// Batches on a core that has stopped: every line has its outcome at once.
+struct JobsFixture {
+    jobs: BatchJobs,
     disk: FailingDisk,
-    end: watch::Sender<bool>,
+    shut_down: watch::Sender<bool>,
 }
 
-impl Bench {
-    fn new(folder: &Path, limits: Limits) -> Bench {
+impl JobsFixture {
+    fn new(folder: &Path, limits: StoreLimits) -> JobsFixture {
         let disk = FailingDisk::default();
         let store = Store::open_on(folder, limits, Arc::new(disk.clone())).unwrap();
-        let (messages, orders) = (mpsc::channel(1).0, mpsc::channel(1).0);
-        let figures = Arc::new(Metrics::new(&["batch".to_string()]));
-        let core = CoreHandle::new(messages, orders, Arc::new(CoreLoad::default()), figures);
-        let options = Options {
+        let (messages, commands) = (mpsc::channel(1).0, mpsc::channel(1).0);
+        let metrics = Arc::new(Metrics::new(&["batch".to_string()]));
+        let core = CoreHandle::new(messages, commands, Arc::new(CoreLoad::default()), metrics);
+        let options = JobOptions {
             class: 0,
             class_name: "batch".into(),
-            patience: LONG,
+            request_timeout: TIMEOUT,
             max_lines: 100,
-            max_line: 1 << 10,
+            max_line_bytes: 1 << 10,
             max_batches: 8,
         };
-        let (end, ending) = watch::channel(false);
-        let window = Window::new(2, core.clone());
-        Bench {
-            jobs: Jobs::new(core, store, window, options, ending, None),
+        let (shut_down, shutting_down) = watch::channel(false);
+        let jobs = BatchJobs::new(JobContext {
+            concurrency: ConcurrencyLimit::new(2, core.clone()),
+            core,
+            edge: None,
+            store,
+            options,
+            shutting_down,
+            spool_log: Arc::new(LogLimit::new()),
+        });
+        JobsFixture {
+            jobs,
             disk,
-            end,
+            shut_down,
         }
     }
 
+    fn store(&self) -> &Store {
+        &self.jobs.context.store
+    }
+
+    async fn create_file(&self) -> FileInfo {
+        let new = NewFile {
+            name: "a",
+            purpose: "batch",
+            total_bytes: None,
+            owner: &Caller::default(),
+        };
+        self.store().create(new).await.unwrap()
+    }
+
     async fn file(&self, text: &[u8]) -> String {
-        let info = self
-            .jobs
-            .store
-            .create("a", "batch", None, &Caller::default())
-            .await
-            .unwrap();
-        let mut appender = self.jobs.store.append(&info.id, 0).await.unwrap();
+        let info = self.create_file().await;
+        let mut appender = self.store().append(&info.id, 0).await.unwrap();
         appender.write(text).await.unwrap();
         appender.finish().unwrap().id
     }
 
     /// Starts a batch of lines that are no JSON; its id.
     async fn start(&self) -> String {
-        let input = self.file("no json\n".repeat(LINES).as_bytes()).await;
-        let window = ("1h".to_string(), Duration::from_secs(3600));
-        let endpoint = "/v1/chat/completions".to_string();
-        let order = Order {
-            input,
-            endpoint,
-            window,
+        let input_file = self.file("no json\n".repeat(LINES).as_bytes()).await;
+        self.start_with(input_file).await
+    }
+
+    /// Starts a batch of this file; its id.
+    async fn start_with(&self, input_file: String) -> String {
+        let new_batch = NewBatch {
+            input_file,
+            endpoint: "/v1/chat/completions".to_string(),
+            completion_window: CompletionWindow {
+                text: "1h".to_string(),
+                duration: Duration::from_secs(3600),
+            },
             metadata: Value::Null,
-            caller: Caller::default(),
+            owner: Caller::default(),
         };
-        self.jobs.create(order).await.unwrap()["id"]
+        self.jobs.create(new_batch).await.unwrap()["id"]
             .as_str()
             .unwrap()
             .to_string()
     }
 
     async fn ended(&self, id: &str) -> Value {
-        tokio::time::timeout(LONG, self.jobs.settle())
+        tokio::time::timeout(TIMEOUT, self.jobs.settle())
             .await
             .expect("an end");
         self.jobs.get(id, &Caller::default()).unwrap()
@@ -84,14 +109,12 @@
 
     /// The lines of the batch's result that were counted.
     async fn outcomes(&self, batch: &Value) -> Vec<Value> {
-        let (file, info) = self
-            .jobs
-            .store
-            .read(batch["output_file_id"].as_str().unwrap())
-            .await
-            .unwrap();
+        let id = batch["output_file_id"].as_str().unwrap();
+        let stored = self.store().read(id).await.unwrap();
         let mut text = String::new();
-        file.take(info.bytes)
+        stored
+            .file
+            .take(stored.info.bytes)
             .read_to_string(&mut text)
             .await
             .unwrap();
@@ -101,32 +124,32 @@
     }
 }
 
-const LIMITS: Limits = Limits {
-    file: 1 << 20,
-    spool: 1 << 20,
+const LIMITS: StoreLimits = StoreLimits {
+    file_bytes: 1 << 20,
+    spool_bytes: 1 << 20,
     files: 8,
 };
 
 #[tokio::test]
 async fn outcomes_wait_for_a_failing_spool() {
     let folder = tempfile::tempdir().unwrap();
-    let bench = Bench::new(folder.path(), LIMITS);
-    let id = bench.start().await;
+    let fixture = JobsFixture::new(folder.path(), LIMITS);
+    let id = fixture.start().await;
     // the result's creation and opening fail, then two writes, the first halfway; the cuts back
     // fail as well
     let full = Fault::Error(Errno::NOSPC);
-    bench.disk.fail_next([full, Fault::Error(Errno::IO)]);
-    bench.disk.fail_next([Fault::Short, Fault::Short]);
-    bench.disk.fail_next([
+    fixture.disk.fail_next([full, Fault::Error(Errno::IO)]);
+    fixture.disk.fail_next([Fault::Short, Fault::Short]);
+    fixture.disk.fail_next([
         Fault::HalfThenError(Errno::IO),
         Fault::Error(Errno::IO),
         full,
         full,
     ]);
-    let batch = bench.ended(&id).await;
+    let batch = fixture.ended(&id).await;
     assert_eq!(batch["status"], "completed", "{batch}");
-    assert_eq!(bench.disk.faults_left(), 0);
-    let outcomes = bench.outcomes(&batch).await;
+    assert_eq!(fixture.disk.faults_left(), 0);
+    let outcomes = fixture.outcomes(&batch).await;
     let numbers: Vec<_> = outcomes
         .iter()
         .map(|outcome| outcome["line"].as_u64().unwrap())
@@ -138,44 +161,44 @@
 async fn batch_goes_on_after_files_deleted() {
     let folder = tempfile::tempdir().unwrap();
     let input = "no json\n".len() * LINES;
-    let bench = Bench::new(
+    let fixture = JobsFixture::new(
         folder.path(),
-        Limits {
-            spool: 4096,
+        StoreLimits {
+            spool_bytes: 4096,
             ..LIMITS
         },
     );
     // what is left holds the input and a part of the result
-    let filler = bench.file(&vec![b'x'; 4096 - input - 300]).await;
-    let id = bench.start().await;
+    let filler = fixture.file(&vec![b'x'; 4096 - input - 300]).await;
+    let id = fixture.start().await;
     let counts =
-        || bench.jobs.get(&id, &Caller::default()).unwrap()["request_counts"]["failed"].clone();
+        || fixture.jobs.get(&id, &Caller::default()).unwrap()["request_counts"]["failed"].clone();
     while counts() == json!(0) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_eq!(
-        bench.jobs.get(&id, &Caller::default()).unwrap()["status"],
+        fixture.jobs.get(&id, &Caller::default()).unwrap()["status"],
         "in_progress"
     );
-    bench.jobs.store.remove(&filler).await.unwrap();
-    let batch = bench.ended(&id).await;
+    fixture.store().remove(&filler).await.unwrap();
+    let batch = fixture.ended(&id).await;
     assert_eq!(batch["status"], "completed", "{batch}");
-    assert_eq!(bench.outcomes(&batch).await.len(), LINES);
+    assert_eq!(fixture.outcomes(&batch).await.len(), LINES);
 }
 
 #[tokio::test]
 async fn batch_on_full_store_can_end() {
     for cancel in [true, false] {
         let folder = tempfile::tempdir().unwrap();
-        let bench = Bench::new(folder.path(), Limits { files: 1, ..LIMITS });
-        let id = bench.start().await;
+        let fixture = JobsFixture::new(folder.path(), StoreLimits { files: 1, ..LIMITS });
+        let id = fixture.start().await;
         if cancel {
-            bench.jobs.cancel(&id, &Caller::default()).unwrap();
+            fixture.jobs.cancel(&id, &Caller::default()).unwrap();
         } else {
-            bench.end.send_replace(true);
+            fixture.shut_down.send_replace(true);
         }
-        let batch = bench.ended(&id).await;
+        let batch = fixture.ended(&id).await;
         assert_eq!(batch["status"], "failed", "{batch}");
         assert_eq!(batch["errors"]["data"][0]["code"], "spool_error", "{batch}");
     }
@@ -184,49 +207,33 @@
 #[tokio::test]
 async fn bytes_behind_the_size_are_ignored() {
     let folder = tempfile::tempdir().unwrap();
-    let bench = Bench::new(folder.path(), LIMITS);
-    let info = bench
-        .jobs
-        .store
-        .create("a", "batch", None, &Caller::default())
-        .await
-        .unwrap();
-    let mut appender = bench.jobs.store.append(&info.id, 0).await.unwrap();
+    let fixture = JobsFixture::new(folder.path(), LIMITS);
+    let info = fixture.create_file().await;
+    let mut appender = fixture.store().append(&info.id, 0).await.unwrap();
     appender.write(b"no json\n").await.unwrap();
-    bench
+    fixture
         .disk
         .fail_next([Fault::HalfThenError(Errno::NOSPC), Fault::Error(Errno::IO)]);
     appender.write(b"garbage\ngarbage\n").await.unwrap_err();
     appender.finish().unwrap();
-    let window = ("1h".to_string(), Duration::from_secs(3600));
-    let endpoint = "/v1/chat/completions".to_string();
-    let order = Order {
-        input: info.id,
-        endpoint,
-        window,
-        metadata: Value::Null,
-        caller: Caller::default(),
-    };
-    let id = bench.jobs.create(order).await.unwrap()["id"]
-        .as_str()
-        .unwrap()
-        .to_string();
-    let batch = bench.ended(&id).await;
+    let id = fixture.start_with(info.id).await;
+    let batch = fixture.ended(&id).await;
     assert_eq!(batch["request_counts"]["total"], 1, "{batch}");
 }
 
 #[tokio::test]
 async fn order_survives_clock_steps() {
     let folder = tempfile::tempdir().unwrap();
-    let bench = Bench::new(folder.path(), LIMITS);
-    let first = bench.start().await;
+    let fixture = JobsFixture::new(folder.path(), LIMITS);
+    let first = fixture.start().await;
     // the clock was an hour ahead when the first batch was created
-    if let Some(batch) = bench.jobs.batches().get_mut(&first) {
-        batch.created += 3600;
-    }
-    let second = bench.start().await;
-    bench.jobs.settle().await;
-    let listed = bench.jobs.list(&Caller::default());
+    fixture
+        .jobs
+        .table
+        .update(&first, |batch| batch.created_at += 3600);
+    let second = fixture.start().await;
+    fixture.jobs.settle().await;
+    let listed = fixture.jobs.list(&Caller::default());
     let listed: Vec<_> = listed
         .iter()
         .map(|batch| batch["id"].as_str().unwrap())
--- a/src/batch/mod.rs
+++ b/src/batch/mod.rs
@@ -2,12 +2,13 @@
 //! Its HTTP API follows the public OpenAI-style Files and Batches API, with resumable uploads for
 //! poor links.
 
+pub mod completion;
+pub mod concurrency;
 pub mod edge_access;
 pub mod http_api;
 pub mod jobs;
 pub mod line;
 pub mod store;
-pub mod window;
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -19,6 +20,7 @@
 use crate::config::{Config, ConfigError, read_file};
 use crate::core::CoreHandle;
 use crate::error::RunError;
+use crate::log_limit::LogLimit;
 use crate::net::listener::{self, ListenerContext};
 
 /// The batch front's own configuration, `deploy/batch.toml`.
@@ -111,7 +113,7 @@
     listener: TcpListener,
     front: Arc<http_api::HttpContext>,
     context: ListenerContext,
-    jobs: jobs::Jobs,
+    jobs: jobs::BatchJobs,
 }
 
 /// Opens the spool and the listening address.
@@ -131,30 +133,30 @@
         .await
         .map_err(|e| RunError::listen(listen, e))?;
     let limits = &options.limits;
-    let limits = store::Limits {
-        file: limits.file_mb << 20,
-        spool: limits.spool_mb << 20,
+    let limits = store::StoreLimits {
+        file_bytes: limits.file_mb << 20,
+        spool_bytes: limits.spool_mb << 20,
         files: limits.files,
     };
     let opened = store::Store::open(&options.spool, limits);
     let store = opened.map_err(|e| RunError::spool(&options.spool, e))?;
-    let run = jobs::Options {
+    let job_options = jobs::JobOptions {
         class: class as u32,
         class_name: options.class.clone(),
-        patience: Duration::from_micros(config.settings.classes[class].deadline.0),
+        request_timeout: Duration::from_micros(config.settings.classes[class].deadline.0),
         max_lines: options.limits.lines,
-        max_line: options.limits.line_kb << 10,
+        max_line_bytes: options.limits.line_kb << 10,
         max_batches: options.limits.batches.max(1),
     };
-    let window = window::Window::new(options.window, core.clone());
-    let jobs = jobs::Jobs::new(
+    let jobs = jobs::BatchJobs::new(jobs::JobContext {
+        concurrency: concurrency::ConcurrencyLimit::new(options.window, core.clone()),
         core,
-        store.clone(),
-        window,
-        run,
-        context.shutting_down.clone(),
-        live.clone(),
-    );
+        edge: live.clone(),
+        store: store.clone(),
+        options: job_options,
+        shutting_down: context.shutting_down.clone(),
+        spool_log: Arc::new(LogLimit::new()),
+    });
     let longest = Duration::from_secs(options.limits.window_s);
     let front = Arc::new(http_api::HttpContext::new(
         store,
--- a/src/batch/store.rs
+++ b/src/batch/store.rs
@@ -1,5 +1,5 @@
-//! The file store: files stream to the spool and from it; only their names and sizes are held in
-//! memory. What it holds ends with the program.
+//! The file store: content is streamed to the spool and from it, and only the files' descriptions
+//! are held in memory. Nothing outlives the process.
 
 mod appender;
 mod error;
@@ -7,6 +7,7 @@
 
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
+use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -18,74 +19,103 @@
 use crate::storage::file_system::retry_on_interrupt;
 use crate::storage::{Disk, FileSystem, OpenFile};
 
-use appender::Lease;
+use appender::WriteLease;
 
 pub use appender::Appender;
 pub use error::StoreError;
 pub use file_info::FileInfo;
 
-/// Seconds of Unix time.
-pub fn unix() -> u64 {
+/// The extension of the files in the spool.
+const FILE_EXTENSION: &str = "spool";
+/// The longest file name that is remembered, in characters.
+const MAX_NAME_CHARS: usize = 255;
+
+/// The wall clock, in seconds of Unix time.
+pub fn unix_seconds() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_secs()
 }
 
-/// The store's limits.
+/// The limits of a store.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Bytes of one file.
-    pub file: u64,
-    /// Bytes of all files.
-    pub spool: u64,
-    /// Files.
+pub struct StoreLimits {
+    /// The most bytes of one file.
+    pub file_bytes: u64,
+    /// The most bytes of all files.
+    pub spool_bytes: u64,
+    /// The most files.
     pub files: usize,
 }
 
+/// A file to be created.
+#[derive(Clone, Copy, Debug)]
+pub struct NewFile<'a> {
+    /// The client's name for it.
+    pub name: &'a str,
+    /// Its purpose in the API's object.
+    pub purpose: &'a str,
+    /// The length of an upload that announced it.
+    pub total_bytes: Option<u64>,
+    /// Who creates it.
+    pub owner: &'a Caller,
+}
+
+/// A file that is open for reading.
+#[derive(Debug)]
+pub struct StoredFile {
+    /// The file in the spool. What a failed write left may lie behind its content.
+    pub file: File,
+    /// Its description; its size is the length of the content.
+    pub info: FileInfo,
+}
+
 #[derive(Default)]
 struct State {
     files: BTreeMap<String, FileInfo>,
-    bytes: u64,
-    last: u64,
+    /// Bytes of all files.
+    used_bytes: u64,
+    /// The number of the latest id.
+    last_number: u64,
 }
 
-/// The store; copies share it.
+/// The store; clones share it.
 #[derive(Clone)]
 pub struct Store {
     dir: PathBuf,
-    /// What files are created and written by; they are read past it.
-    writes: Arc<dyn FileSystem>,
-    limits: Limits,
-    random: RandomState,
+    /// Creates and writes files; they are read without it.
+    file_system: Arc<dyn FileSystem>,
+    limits: StoreLimits,
+    id_hasher: RandomState,
     state: Arc<Mutex<State>>,
 }
 
 impl Store {
-    /// Opens a store in a folder. Files that an earlier program left there are removed: nobody
-    /// knows them now.
-    pub fn open(dir: &Path, limits: Limits) -> std::io::Result<Store> {
+    /// Opens a store in a folder. Files that an earlier process left there are deleted, as nobody
+    /// knows their ids any more.
+    pub fn open(dir: &Path, limits: StoreLimits) -> io::Result<Store> {
         Store::open_on(dir, limits, Arc::new(Disk))
     }
 
-    /// The same, with files written by way of this file system.
+    /// Opens a store whose files are written by this file system.
     pub(super) fn open_on(
         dir: &Path,
-        limits: Limits,
-        writes: Arc<dyn FileSystem>,
-    ) -> std::io::Result<Store> {
+        limits: StoreLimits,
+        file_system: Arc<dyn FileSystem>,
+    ) -> io::Result<Store> {
         std::fs::create_dir_all(dir)?;
-        for left in std::fs::read_dir(dir)? {
-            let path = left?.path();
-            if path.extension().is_some_and(|e| e == "spool") {
+        for entry in std::fs::read_dir(dir)? {
+            let path = entry?.path();
+            if path.extension().is_some_and(|e| e == FILE_EXTENSION) {
                 std::fs::remove_file(path)?;
             }
         }
         Ok(Store {
             dir: dir.to_path_buf(),
-            writes,
+            file_system,
             limits,
-            random: RandomState::new(),
+            id_hasher: RandomState::new(),
             state: Arc::default(),
         })
     }
@@ -94,103 +124,98 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A fresh id that can't be guessed.
-    pub fn fresh_id(&self, kind: &str) -> String {
+    /// A new id with this prefix, which can't be guessed.
+    pub fn fresh_id(&self, prefix: &str) -> String {
         let mut state = self.state();
-        state.last += 1;
-        format!(
-            "{kind}{:016x}{:08x}",
-            self.random.hash_one((state.last, kind)),
-            state.last
-        )
+        state.last_number += 1;
+        let number = state.last_number;
+        let hash = self.id_hasher.hash_one((number, prefix));
+        format!("{prefix}{hash:016x}{number:08x}")
     }
 
     fn path(&self, id: &str) -> PathBuf {
-        self.dir.join(format!("{id}.spool"))
+        self.dir.join(format!("{id}.{FILE_EXTENSION}"))
     }
 
-    /// The limit of one file.
-    pub fn most(&self) -> u64 {
-        self.limits.file
+    /// The most bytes of one file.
+    pub fn max_file_bytes(&self) -> u64 {
+        self.limits.file_bytes
     }
 
     /// Creates an empty file.
-    pub async fn create(
-        &self,
-        name: &str,
-        purpose: &str,
-        total: Option<u64>,
-        owner: &Caller,
-    ) -> Result<FileInfo, StoreError> {
-        if total.is_some_and(|t| t > self.limits.file) {
-            return Err(StoreError::TooLarge(self.limits.file));
+    pub async fn create(&self, new: NewFile<'_>) -> Result<FileInfo, StoreError> {
+        let max_bytes = self.limits.file_bytes;
+        if new.total_bytes.is_some_and(|total| total > max_bytes) {
+            return Err(StoreError::TooLarge { max_bytes });
         }
-        let id = self.fresh_id("file-");
-        let info = {
-            let mut state = self.state();
-            if state.files.len() >= self.limits.files || state.bytes >= self.limits.spool {
-                return Err(StoreError::Full);
-            }
-            let info = FileInfo {
-                id: id.clone(),
-                number: state.last,
-                name: name.chars().filter(|c| !c.is_control()).take(255).collect(),
-                purpose: purpose.to_string(),
-                bytes: 0,
-                total,
-                ready: false,
-                created: unix(),
-                owner: owner.clone(),
-                busy: false,
-            };
-            state.files.insert(id.clone(), info.clone());
-            info
-        };
-        if let Err(e) = self
-            .open_for_writing(&id, |files, path| files.create(path))
-            .await
-        {
-            self.state().files.remove(&id);
+        let info = self.reserve(self.fresh_id("file-"), new)?;
+        let created = self
+            .open_for_writing(&info.id, |file_system, path| file_system.create(path))
+            .await;
+        if let Err(e) = created {
+            self.state().files.remove(&info.id);
             return Err(e);
         }
         Ok(info)
     }
 
-    /// What is known of a file.
+    /// Adds a file to the table, within the limits.
+    fn reserve(&self, id: String, new: NewFile<'_>) -> Result<FileInfo, StoreError> {
+        let mut state = self.state();
+        let has_capacity =
+            state.files.len() < self.limits.files && state.used_bytes < self.limits.spool_bytes;
+        if !has_capacity {
+            return Err(StoreError::Full);
+        }
+        let name = new.name.chars().filter(|c| !c.is_control());
+        let info = FileInfo {
+            id: id.clone(),
+            number: state.last_number,
+            name: name.take(MAX_NAME_CHARS).collect(),
+            purpose: new.purpose.to_string(),
+            bytes: 0,
+            total_bytes: new.total_bytes,
+            is_complete: false,
+            created_at: unix_seconds(),
+            owner: new.owner.clone(),
+            is_leased: false,
+        };
+        state.files.insert(id, info.clone());
+        Ok(info)
+    }
+
+    /// The description of a file.
     pub fn info(&self, id: &str) -> Result<FileInfo, StoreError> {
-        self.state()
-            .files
-            .get(id)
-            .cloned()
-            .ok_or(StoreError::Unknown)
+        let state = self.state();
+        state.files.get(id).cloned().ok_or(StoreError::Unknown)
     }
 
-    /// All files, the latest first.
+    /// The descriptions of all files, the latest first.
     pub fn list(&self) -> Vec<FileInfo> {
-        let mut all: Vec<FileInfo> = self.state().files.values().cloned().collect();
-        all.sort_by_key(|f| std::cmp::Reverse(f.number));
-        all
+        let mut files: Vec<FileInfo> = self.state().files.values().cloned().collect();
+        files.sort_by_key(|file| std::cmp::Reverse(file.number));
+        files
     }
 
-    /// Goes on writing a file at its end, which must be `offset`.
+    /// Opens a file to append to it. The offset must be its end.
     pub async fn append(&self, id: &str, offset: u64) -> Result<Appender, StoreError> {
         {
             let mut state = self.state();
             let info = state.files.get_mut(id).ok_or(StoreError::Unknown)?;
-            if info.busy {
+            if info.is_leased {
                 return Err(StoreError::Busy);
             }
-            if info.ready || info.bytes != offset {
-                return Err(StoreError::Offset(info.bytes));
+            if info.is_complete || info.bytes != offset {
+                return Err(StoreError::WrongOffset { end: info.bytes });
             }
-            info.busy = true;
+            info.is_leased = true;
         }
-        let lease = Arc::new(Lease {
+        let lease = Arc::new(WriteLease {
             store: self.clone(),
             id: id.to_string(),
         });
         let file = self
-            .open_for_writing(id, |files, path| files.open(path))
+            .open_for_writing(id, |file_system, path| file_system.open(path))
             .await?;
         Ok(Appender { lease, file })
     }
@@ -198,32 +223,32 @@
     async fn open_for_writing(
         &self,
         id: &str,
-        open: impl Fn(&dyn FileSystem, &Path) -> std::io::Result<Arc<dyn OpenFile>> + Send + 'static,
+        open: impl Fn(&dyn FileSystem, &Path) -> io::Result<Arc<dyn OpenFile>> + Send + 'static,
     ) -> Result<Arc<dyn OpenFile>, StoreError> {
-        let (writes, path) = (self.writes.clone(), self.path(id));
-        let opened = spawn_blocking(move || retry_on_interrupt(|| open(&*writes, &path)));
-        Ok(opened.await.map_err(std::io::Error::other)??)
+        let (file_system, path) = (self.file_system.clone(), self.path(id));
+        let opened = spawn_blocking(move || retry_on_interrupt(|| open(&*file_system, &path)));
+        Ok(opened.await.map_err(io::Error::other)??)
     }
 
-    /// Opens a whole file for reading. Its content is the first bytes, as many as its size: what a
-    /// failed write left may lie behind them.
-    pub async fn read(&self, id: &str) -> Result<(File, FileInfo), StoreError> {
+    /// Opens a complete file for reading.
+    pub async fn read(&self, id: &str) -> Result<StoredFile, StoreError> {
         let info = self.info(id)?;
-        if !info.ready {
-            return Err(StoreError::Unfinished);
+        if !info.is_complete {
+            return Err(StoreError::Incomplete);
         }
-        Ok((File::open(self.path(id)).await?, info))
+        let file = File::open(self.path(id)).await?;
+        Ok(StoredFile { file, info })
     }
 
-    /// Removes a file. Who is reading it can go on.
+    /// Deletes a file. Those who are reading it can go on.
     pub async fn remove(&self, id: &str) -> Result<(), StoreError> {
         {
             let mut state = self.state();
-            if state.files.get(id).ok_or(StoreError::Unknown)?.busy {
+            if state.files.get(id).ok_or(StoreError::Unknown)?.is_leased {
                 return Err(StoreError::Busy);
             }
             if let Some(info) = state.files.remove(id) {
-                state.bytes -= info.bytes;
+                state.used_bytes -= info.bytes;
             }
         }
         tokio::fs::remove_file(self.path(id)).await?;
--- a/src/batch/store/appender.rs
+++ b/src/batch/store/appender.rs
@@ -1,4 +1,4 @@
-//! Writing on at a stored file's end.
+//! Appends to a stored file.
 
 use std::io;
 use std::sync::Arc;
@@ -9,13 +9,13 @@
 
 /// The one writer of a file.
 pub struct Appender {
-    pub(super) lease: Arc<Lease>,
+    pub(super) lease: Arc<WriteLease>,
     pub(super) file: Arc<dyn OpenFile>,
 }
 
 impl Appender {
-    /// Writes on, all of it or nothing that counts. What was written stays, also if the client goes
-    /// before the end.
+    /// Appends the bytes: all of them, or none that count. They stay in the file, also if the
+    /// client disconnects before the end.
     pub async fn write(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
         let (lease, file, bytes) = (self.lease.clone(), self.file.clone(), bytes.to_vec());
         let write = move || lease.write(&*file, &bytes);
@@ -24,64 +24,64 @@
             .unwrap_or_else(|e| Err(io::Error::other(e).into()))
     }
 
-    /// Makes the file whole.
+    /// Marks the file as complete.
     pub fn finish(self) -> Result<FileInfo, StoreError> {
         let mut state = self.lease.store.state();
         let info = state
             .files
             .get_mut(&self.lease.id)
             .ok_or(StoreError::Unknown)?;
-        info.ready = true;
+        info.is_complete = true;
         Ok(info.clone())
     }
 }
 
-/// The right to write a file. A write under way shares it, as that goes on also when the one who
-/// waits for it is gone: the next writer comes after it.
-pub(super) struct Lease {
+/// The right to write a file. A write in progress shares it, since it goes on even if nobody waits
+/// for it any more: the next writer has to wait until it has ended.
+pub(super) struct WriteLease {
     pub(super) store: Store,
     pub(super) id: String,
 }
 
-impl Lease {
+impl WriteLease {
     fn write(&self, file: &dyn OpenFile, bytes: &[u8]) -> Result<(), StoreError> {
         let count = bytes.len() as u64;
-        // the size is told to the client as the offset to go on from: what a failed write left
-        // behind it is written over
+        // Clients resume at the file's size: what a failed write left behind it is overwritten.
         let end = self.end_with_capacity(count)?;
         if let Err(e) = write_all_at(file, bytes, end) {
-            // gives back the space; no reader goes beyond the size, so that nothing depends on it
+            // Returns the space. Readers never go beyond the size, so a failure does no harm.
             let _ = retry_on_interrupt(|| file.truncate(end));
             return Err(e.into());
         }
         let mut state = self.store.state();
-        state.bytes += count;
+        state.used_bytes += count;
         if let Some(info) = state.files.get_mut(&self.id) {
             info.bytes += count;
         }
         Ok(())
     }
 
-    /// Where the file ends, if so many bytes more are within the limits.
+    /// The end of the file, if this many bytes more are within the limits.
     fn end_with_capacity(&self, count: u64) -> Result<u64, StoreError> {
         let state = self.store.state();
-        let left = self.store.limits.spool.saturating_sub(state.bytes);
+        let limits = &self.store.limits;
+        let available = limits.spool_bytes.saturating_sub(state.used_bytes);
         let info = state.files.get(&self.id).ok_or(StoreError::Unknown)?;
-        let most = info.total.unwrap_or(self.store.limits.file);
-        if info.bytes + count > most {
-            return Err(StoreError::TooLarge(most));
+        let max_bytes = info.total_bytes.unwrap_or(limits.file_bytes);
+        if info.bytes + count > max_bytes {
+            return Err(StoreError::TooLarge { max_bytes });
         }
-        if count > left {
+        if count > available {
             return Err(StoreError::Full);
         }
         Ok(info.bytes)
     }
 }
 
-impl Drop for Lease {
+impl Drop for WriteLease {
     fn drop(&mut self) {
         if let Some(info) = self.store.state().files.get_mut(&self.id) {
-            info.busy = false;
+            info.is_leased = false;
         }
     }
 }
--- a/src/batch/store/file_info.rs
+++ b/src/batch/store/file_info.rs
@@ -1,38 +1,50 @@
-//! What is known of a stored file.
+//! The description of a stored file.
 
 use serde_json::{Value, json};
 
 use crate::edge::Caller;
 
-/// What is known of a file.
+/// The description of a stored file.
 #[derive(Clone, Debug)]
 pub struct FileInfo {
     /// Its id.
     pub id: String,
-    /// Its place in the order of creation.
+    /// Its position in the order of creation.
     pub number: u64,
-    /// Its name at the client's.
+    /// The client's name for it.
     pub name: String,
-    /// What it is for.
+    /// Its purpose in the API's object.
     pub purpose: String,
-    /// Bytes held.
+    /// Its size.
     pub bytes: u64,
-    /// Bytes that an upload is to come to, where it was stated.
-    pub total: Option<u64>,
-    /// It is whole.
-    pub ready: bool,
-    /// When it was created.
-    pub created: u64,
-    /// Who made it.
+    /// The length of an upload that announced it.
+    pub total_bytes: Option<u64>,
+    /// Whether it has been written completely.
+    pub is_complete: bool,
+    /// When it was created, in seconds of Unix time.
+    pub created_at: u64,
+    /// Who created it.
     pub owner: Caller,
-    pub(super) busy: bool,
+    /// Whether it has a writer.
+    pub(super) is_leased: bool,
 }
 
 impl FileInfo {
     /// The API's file object.
     pub fn object(&self) -> Value {
-        let status = if self.ready { "processed" } else { "uploaded" };
-        json!({"id": self.id, "object": "file", "bytes": self.bytes, "created_at": self.created,
-            "filename": self.name, "purpose": self.purpose, "status": status})
+        let status = if self.is_complete {
+            "processed"
+        } else {
+            "uploaded"
+        };
+        json!({
+            "id": self.id,
+            "object": "file",
+            "bytes": self.bytes,
+            "created_at": self.created_at,
+            "filename": self.name,
+            "purpose": self.purpose,
+            "status": status,
+        })
     }
 }
--- a/src/batch/store/tests.rs
+++ b/src/batch/store/tests.rs
@@ -8,9 +8,9 @@
 use crate::storage::failing_disk::FailingDisk;
 use crate::storage::simulated_disk::Fault;
 
-const LIMITS: Limits = Limits {
-    file: 1 << 20,
-    spool: 1 << 20,
+const LIMITS: StoreLimits = StoreLimits {
+    file_bytes: 1 << 20,
+    spool_bytes: 1 << 20,
     files: 8,
 };
 
@@ -18,11 +18,23 @@
     Store::open_on(folder, LIMITS, Arc::new(disk.clone())).unwrap()
 }
 
-/// The content that readers are given.
+async fn create(store: &Store, total_bytes: Option<u64>) -> FileInfo {
+    let new = NewFile {
+        name: "a",
+        purpose: "batch",
+        total_bytes,
+        owner: &Caller::default(),
+    };
+    store.create(new).await.unwrap()
+}
+
+/// The content that readers get.
 async fn content(store: &Store, id: &str) -> String {
-    let (file, info) = store.read(id).await.unwrap();
+    let stored = store.read(id).await.unwrap();
     let mut text = String::new();
-    file.take(info.bytes)
+    stored
+        .file
+        .take(stored.info.bytes)
         .read_to_string(&mut text)
         .await
         .unwrap();
@@ -37,17 +49,14 @@
     let folder = tempfile::tempdir().unwrap();
     let disk = FailingDisk::default();
     let store = store(folder.path(), &disk);
-    let info = store
-        .create("a", "batch", Some(9), &Caller::default())
-        .await
-        .unwrap();
+    let info = create(&store, Some(9)).await;
     let mut appender = store.append(&info.id, 0).await.unwrap();
     appender.write(b"one").await.unwrap();
     // neither the write nor the cut back to the size goes well
     disk.fail_next([fault, Fault::Error(Errno::IO)]);
     assert!(matches!(
         appender.write(b"garbage").await,
-        Err(StoreError::TooLarge(_))
+        Err(StoreError::TooLarge { .. })
     ));
     assert!(matches!(
         appender.write(b"xxxxxx").await,
@@ -55,17 +64,17 @@
     ));
     assert_eq!(store.info(&info.id).unwrap().bytes, 3);
     drop(appender);
-    // a resumed upload: the client is told where to go on
+    // a resumed upload: the error says where it has to go on
     assert!(matches!(
         store.append(&info.id, 6).await,
-        Err(StoreError::Offset(3))
+        Err(StoreError::WrongOffset { end: 3 })
     ));
     let mut appender = store.append(&info.id, 3).await.unwrap();
     appender.write(b"two").await.unwrap();
     appender.finish().unwrap();
     assert_eq!(content(&store, &info.id).await, "onetwo");
     // the spool's count is what readers are given
-    assert_eq!(store.state().bytes, 6);
+    assert_eq!(store.state().used_bytes, 6);
 }
 
 #[tokio::test]
@@ -73,10 +82,7 @@
     let folder = tempfile::tempdir().unwrap();
     let disk = FailingDisk::default();
     let store = store(folder.path(), &disk);
-    let info = store
-        .create("a", "batch", None, &Caller::default())
-        .await
-        .unwrap();
+    let info = create(&store, None).await;
     let mut appender = store.append(&info.id, 0).await.unwrap();
     disk.fail_next([Fault::HalfThenError(Errno::NOSPC)]);
     appender.write(b"xxxxxx").await.unwrap_err();
@@ -90,10 +96,7 @@
     let store = store(folder.path(), &disk);
     let interrupted = Fault::Error(Errno::INTR);
     disk.fail_next([interrupted]);
-    let info = store
-        .create("a", "batch", None, &Caller::default())
-        .await
-        .unwrap();
+    let info = create(&store, None).await;
     disk.fail_next([interrupted]);
     let mut appender = store.append(&info.id, 0).await.unwrap();
     disk.fail_next([Fault::Short, interrupted, Fault::Short, Fault::Short]);
@@ -107,10 +110,7 @@
     let folder = tempfile::tempdir().unwrap();
     let disk = FailingDisk::default();
     let store = store(folder.path(), &disk);
-    let info = store
-        .create("a", "batch", None, &Caller::default())
-        .await
-        .unwrap();
+    let info = create(&store, None).await;
     let mut appender = store.append(&info.id, 0).await.unwrap();
     disk.block_writes(true);
     let write = appender.write(b"late");
@@ -130,5 +130,5 @@
     tokio::time::timeout(Duration::from_secs(30), written)
         .await
         .expect("written all the same");
-    assert_eq!(store.state().bytes, 4);
+    assert_eq!(store.state().used_bytes, 4);
 }
