--- a/src/batch/http_api/batches.rs
+++ b/src/batch/http_api/batches.rs
@@ -1,142 +1,130 @@
-//! Batches as they are ordered, and pages of lists.
+//! `/v1/batches`: creates, lists, describes and cancels batches.
 
 use std::time::Duration;
 
-use serde_json::{Value, json};
+use serde_json::Value;
 
+use super::errors::RequestError;
+use super::idempotency::Claim;
+use super::pagination::page;
+use super::response::Response;
+use super::routes::no_such_method;
+use super::session::Session;
 use crate::api::{ApiError, Reply};
 use crate::batch::jobs::{CompletionWindow, JobError, NewBatch};
 use crate::net::http::{Body, Head};
 
-use super::{PAGE, RequestError, Session};
+/// The most entries of a batch's metadata.
+const MAX_METADATA_ENTRIES: usize = 16;
 
 impl Session {
-    /// `POST /v1/batches`.
-    pub(super) async fn create_batch(
+    /// Handles a request for batches. The path is what follows `/v1/batches`.
+    pub(super) async fn route_batches(
         &mut self,
         head: &Head,
         body: &mut Body,
-    ) -> Result<Reply, RequestError> {
-        let text = self.small(head, body).await?;
-        let asked: Value = serde_json::from_slice(&text)
-            .map_err(|e| ApiError::new(400, None, format!("the body is no JSON: {e}")))?;
-        let order = self.order(&asked)?;
-        // a file of another's is none
-        self.file(&order.input_file).map_err(JobError::File)?;
-        let key = self.key(head, "batch");
-        if let Some(key) = &key
-            && let Some(id) = self.front.keys.take(key, &text)?
-        {
-            return Ok(Reply::json(self.front.jobs.get(&id, &self.caller)?));
-        }
-        let made = self.front.jobs.create(order).await;
-        if let Some(key) = &key {
-            self.front
-                .keys
-                .made(key, made.as_ref().ok().and_then(|m| m["id"].as_str()));
-        }
-        Ok(Reply::json(made?))
+        path: &[&str],
+    ) -> Result<Response, RequestError> {
+        let context = self.context.clone();
+        let jobs = &context.jobs;
+        let object = match (head.method.as_str(), path) {
+            ("POST", []) => self.create_batch(head, body).await?,
+            ("GET", []) => page(head, jobs.list(&self.caller))?,
+            ("GET", [id]) => jobs.get(id, &self.caller)?,
+            ("POST", [id, "cancel"]) => {
+                self.receive_body(head, body).await?;
+                jobs.cancel(id, &self.caller)?
+            }
+            _ => return Err(no_such_method().into()),
+        };
+        Ok(Reply::json(object).into())
     }
 
-    pub(super) fn order(&self, asked: &Value) -> Result<NewBatch, ApiError> {
-        let text = |name: &'static str| {
-            let value = asked[name]
-                .as_str()
-                .ok_or_else(|| ApiError::new(400, name, format!("{name} must be text")));
-            value.map(String::from)
+    async fn create_batch(&mut self, head: &Head, body: &mut Body) -> Result<Value, RequestError> {
+        let received = self.receive_body(head, body).await?.bytes;
+        let request: Value = serde_json::from_slice(&received)
+            .map_err(|e| ApiError::new(400, None, format!("the body is no JSON: {e}")))?;
+        let new_batch = self.parse_batch(&request)?;
+        // other callers' files are unknown to this one
+        self.visible_file(&new_batch.input_file)
+            .map_err(JobError::File)?;
+        let context = self.context.clone();
+        let Some(key) = self.idempotency_key(head, "batch") else {
+            return Ok(context.jobs.create(new_batch).await?);
         };
-        let (input, endpoint, window) = (
-            text("input_file_id")?,
-            text("endpoint")?,
-            text("completion_window")?,
-        );
-        if !self.front.endpoints.contains(&endpoint) {
-            let known = self.front.endpoints.join(", ");
-            return Err(ApiError::new(
-                400,
-                "endpoint",
-                format!("endpoint must be one of {known}"),
-            ));
+        let keys = &context.idempotency_keys;
+        if let Claim::Created(id) = keys.claim(&key, &received)? {
+            return Ok(context.jobs.get(&id, &self.caller)?);
         }
-        let length = length(&window).filter(|l| *l <= self.front.longest && !l.is_zero());
-        let length = length.ok_or_else(|| {
-            ApiError::new(
-                400,
-                "completion_window",
-                "completion_window must be a time such as 24h or 30m, within the limit",
-            )
-        })?;
-        let metadata = asked["metadata"].clone();
-        if !metadata.is_null() && metadata.as_object().is_none_or(|m| m.len() > 16) {
-            return Err(ApiError::new(
-                400,
-                "metadata",
-                "metadata must be an object of 16 entries at most",
-            ));
+        let created = context.jobs.create(new_batch).await;
+        let object = created.as_ref().ok();
+        keys.complete(&key, object.and_then(|object| object["id"].as_str()));
+        Ok(created?)
+    }
+
+    fn parse_batch(&self, request: &Value) -> Result<NewBatch, ApiError> {
+        let input_file = required_text(request, "input_file_id")?;
+        let endpoint = required_text(request, "endpoint")?;
+        let completion_window = required_text(request, "completion_window")?;
+        if !self.context.endpoints.contains(&endpoint) {
+            let known = self.context.endpoints.join(", ");
+            let message = format!("endpoint must be one of {known}");
+            return Err(ApiError::new(400, "endpoint", message));
         }
         Ok(NewBatch {
-            input_file: input,
+            input_file,
             endpoint,
-            completion_window: CompletionWindow {
-                text: window,
-                duration: length,
-            },
-            metadata,
+            completion_window: self.parse_window(completion_window)?,
+            metadata: parse_metadata(request)?,
             owner: self.caller.clone(),
         })
     }
-}
 
-/// A page of a list: `limit` objects behind the one named by `after`.
-pub(super) fn page(head: &Head, all: Vec<Value>) -> Result<Value, ApiError> {
-    let query = head.target.split_once('?').map_or("", |(_, q)| q);
-    let value = |name: &str| {
-        form_urlencoded::parse(query.as_bytes())
-            .find(|(k, _)| k == name)
-            .map(|(_, v)| v)
-    };
-    let limit = match value("limit") {
-        None => PAGE.0,
-        Some(text) => match text.parse::<usize>() {
-            Ok(n) if (1..=PAGE.1).contains(&n) => n,
-            _ => {
-                return Err(ApiError::new(
-                    400,
-                    "limit",
-                    format!("limit must be 1 to {}", PAGE.1),
-                ));
+    fn parse_window(&self, text: String) -> Result<CompletionWindow, ApiError> {
+        let max = self.context.max_completion_window;
+        match parse_duration(&text) {
+            Some(duration) if duration <= max && !duration.is_zero() => {
+                Ok(CompletionWindow { text, duration })
             }
-        },
-    };
-    let start = match value("after") {
-        None => 0,
-        Some(id) => {
-            let at = all.iter().position(|o| o["id"] == *id);
-            1 + at.ok_or(ApiError::new(
+            _ => Err(ApiError::new(
                 400,
-                "after",
-                "after names no object of the list",
-            ))?
+                "completion_window",
+                "completion_window must be a time such as 24h or 30m, within the limit",
+            )),
         }
-    };
-    let more = all.len() > start + limit;
-    let data: Vec<Value> = all.into_iter().skip(start).take(limit).collect();
-    let id = |o: Option<&Value>| o.map_or(Value::Null, |o| o["id"].clone());
-    let (first, last) = (id(data.first()), id(data.last()));
-    Ok(
-        json!({"object": "list", "data": data, "first_id": first, "last_id": last, "has_more": more}),
-    )
+    }
+}
+
+fn required_text(request: &Value, name: &'static str) -> Result<String, ApiError> {
+    match request[name].as_str() {
+        Some(text) => Ok(text.to_string()),
+        None => Err(ApiError::new(400, name, format!("{name} must be text"))),
+    }
+}
+
+fn parse_metadata(request: &Value) -> Result<Value, ApiError> {
+    let metadata = request["metadata"].clone();
+    let entries = metadata.as_object().map(|entries| entries.len());
+    if metadata.is_null() || entries.is_some_and(|count| count <= MAX_METADATA_ENTRIES) {
+        return Ok(metadata);
+    }
+    Err(ApiError::new(
+        400,
+        "metadata",
+        format!("metadata must be an object of {MAX_METADATA_ENTRIES} entries at most"),
+    ))
 }
 
-/// A time as `24h`, `30m`, `90s` or `7d`.
-fn length(text: &str) -> Option<Duration> {
-    let unit = match text.chars().last()? {
+/// Parses a time such as `24h`, `30m`, `90s` or `7d`.
+fn parse_duration(text: &str) -> Option<Duration> {
+    let unit = text.chars().last()?;
+    let unit_seconds = match unit {
         's' => 1,
         'm' => 60,
         'h' => 3600,
         'd' => 86_400,
         _ => return None,
     };
-    let n: u64 = text[..text.len() - 1].parse().ok()?;
-    Some(Duration::from_secs(n.checked_mul(unit)?))
+    let count: u64 = text.strip_suffix(unit)?.parse().ok()?;
+    Some(Duration::from_secs(count.checked_mul(unit_seconds)?))
 }
--- /dev/null
+++ b/src/batch/http_api/chat_answer.rs
@@ -0,0 +1,116 @@
+//! Sends the answer of a model: as a stream, or as one object once it is complete.
+
+use bytes::{BufMut, BytesMut};
+use serde_json::Value;
+
+use super::response::ChatAnswer;
+use super::session::Session;
+use crate::api::{ApiError, Reply};
+use crate::batch::completion::{CompletionBuilder, CompletionDefaults};
+use crate::batch::store::unix_seconds;
+use crate::edge::service::{Part, Serving};
+use crate::net::http::{Head, HttpError, LAST_CHUNK, put_chunk};
+
+impl Session {
+    /// Sends the answer in the form that the client asked for.
+    pub(super) async fn send_answer(
+        &mut self,
+        head: &Head,
+        chat: ChatAnswer,
+        close: bool,
+    ) -> Result<(), HttpError> {
+        if chat.is_streamed {
+            self.send_stream(chat.answer, close).await
+        } else {
+            self.send_completion(head, chat.answer, close).await
+        }
+    }
+
+    /// Sends the events of the answer as they arrive. If it breaks off, the connection is closed
+    /// without the last chunk, so that the client can tell.
+    async fn send_stream(&mut self, mut answer: Serving, close: bool) -> Result<(), HttpError> {
+        let mut output = BytesMut::new();
+        output.put_slice(self.stream_head(answer.model(), close).as_bytes());
+        loop {
+            match self.next_part(&mut answer).await? {
+                Part::Data(bytes) => put_chunk(&mut output, &bytes),
+                Part::Done => {
+                    output.put_slice(LAST_CHUNK);
+                    return self.connection.write_last(&output).await;
+                }
+                Part::Broken => return Err(HttpError::ConnectionClosed),
+            }
+            self.connection.write(&output).await?;
+            output.clear();
+        }
+    }
+
+    fn stream_head(&self, model: &str, close: bool) -> String {
+        let connection = if close { "Connection: close\r\n" } else { "" };
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
+             Transfer-Encoding: chunked\r\nx-request-id: {}\r\nX-Served-Model: {model}\r\n\
+             {connection}\r\n",
+            self.request_id
+        )
+    }
+
+    /// Sends the answer as one object.
+    async fn send_completion(
+        &mut self,
+        head: &Head,
+        mut answer: Serving,
+        close: bool,
+    ) -> Result<(), HttpError> {
+        let mut builder = CompletionBuilder::default();
+        let is_complete = loop {
+            match self.next_part(&mut answer).await? {
+                Part::Data(bytes) => builder.add(&bytes),
+                Part::Done => break true,
+                Part::Broken => break false,
+            }
+        };
+        let completion = if is_complete {
+            completion(builder, &answer)
+        } else {
+            Err(broken_answer("the answer broke off; it may have run"))
+        };
+        let reply = match completion {
+            Ok(completion) => Reply {
+                headers: vec![("X-Served-Model", answer.model().to_string())],
+                ..Reply::json(completion)
+            },
+            Err(error) => Reply::from(&error),
+        };
+        self.reply(head, &reply, close).await
+    }
+
+    /// The next part of the answer, unless the client disconnects.
+    async fn next_part(&mut self, answer: &mut Serving) -> Result<Part, HttpError> {
+        tokio::select! {
+            biased;
+            part = answer.next() => Ok(part),
+            () = self.connection.wait_for_disconnect() => Err(HttpError::ConnectionClosed),
+        }
+    }
+}
+
+/// The object of a complete answer. One that its budget cut off says why.
+fn completion(builder: CompletionBuilder, answer: &Serving) -> Result<Value, ApiError> {
+    let defaults = CompletionDefaults {
+        trace_id: answer.trace.id(),
+        created_at: unix_seconds(),
+        model: &answer.model().into(),
+    };
+    let mut completion = builder
+        .finish(defaults)
+        .map_err(|e| broken_answer(&e.to_string()))?;
+    if let Some(reason) = answer.cut() {
+        completion["stilespan"] = reason.clone();
+    }
+    Ok(completion)
+}
+
+fn broken_answer(message: &str) -> ApiError {
+    ApiError::new(502, None, message).code("answer_broken")
+}
--- a/src/batch/http_api/content.rs
+++ b/src/batch/http_api/content.rs
@@ -1,109 +1,107 @@
-//! Files handed out, whole or by ranges.
+//! Sends the content of files, completely or by ranges.
+
+use std::fmt::Write;
+use std::io::SeekFrom;
 
 use tokio::io::{AsyncReadExt, AsyncSeekExt};
 
-use crate::api::{ApiError, reason};
+use super::range::{ByteRange, parse_range};
+use super::reply::status_line;
+use super::session::Session;
+use crate::api::{ApiError, Reply};
 use crate::batch::store::StoredFile;
 use crate::net::http::{Head, HttpError};
 use crate::net::listener::RequestOutcome;
 
-use super::{READ, Session};
+/// How much is read from the spool at a time.
+const READ_SIZE_BYTES: usize = 32 << 10;
+
+/// The part of a file that is sent.
+struct ContentPart {
+    /// The first byte.
+    start: u64,
+    /// The byte after the last.
+    end: u64,
+    /// Whether the client asked for a part.
+    is_partial: bool,
+}
 
 impl Session {
-    /// Sends a file, or the range of it that is asked for.
-    pub(super) async fn content(
+    /// Sends a file, or the range of it that is requested.
+    pub(super) async fn send_content(
         &mut self,
         head: &Head,
         stored: StoredFile,
         close: bool,
     ) -> Result<(), HttpError> {
-        let StoredFile { mut file, info } = stored;
-        let tag = format!("\"{}-{}\"", info.id, info.bytes);
-        // a range of another state of the file would be no help: then the whole of it goes out
-        let same = head.get("if-range").is_none_or(|t| t == tag);
-        let range = head
-            .get("range")
-            .filter(|_| same)
-            .map(|r| range(r, info.bytes));
-        let (status, from, to) = match range {
-            None | Some(Range::Whole) => (200, 0, info.bytes),
-            Some(Range::Part(from, to)) => (206, from, to),
-            Some(Range::None) => {
-                let e = ApiError::new(416, "Range", "no such bytes");
-                let e = e.with("Content-Range", format!("bytes */{}", info.bytes));
-                return self.error(head, e, close).await;
+        let size = stored.info.bytes;
+        let tag = format!("\"{}-{size}\"", stored.info.id);
+        // a range of another version of the file is of no use: the client gets all of this one
+        let is_same_version = head.get("if-range").is_none_or(|version| version == tag);
+        let range = head.get("range").filter(|_| is_same_version);
+        let part = match range.map(|range| parse_range(range, size)) {
+            None | Some(ByteRange::Full) => ContentPart {
+                start: 0,
+                end: size,
+                is_partial: false,
+            },
+            Some(ByteRange::Part { start, end }) => ContentPart {
+                start,
+                end,
+                is_partial: true,
+            },
+            Some(ByteRange::Unsatisfiable) => {
+                let error = ApiError::new(416, "Range", "no such bytes")
+                    .with("Content-Range", format!("bytes */{size}"));
+                return self.reply(head, &Reply::from(&error), close).await;
             }
         };
-        let mut text = format!(
-            "HTTP/1.1 {status} {}\r\nContent-Type: application/jsonl\r\n",
-            reason(status)
-        );
-        text.push_str(&format!("x-request-id: {}\r\n", self.id));
-        text.push_str(&format!(
-            "Content-Length: {}\r\nAccept-Ranges: bytes\r\nETag: {tag}\r\n",
-            to - from
-        ));
-        if status == 206 {
-            text.push_str(&format!(
-                "Content-Range: bytes {from}-{}/{}\r\n",
-                to - 1,
-                info.bytes
-            ));
+        let message_head = self.content_head(&part, size, &tag, close);
+        self.connection.write(message_head.as_bytes()).await?;
+        if head.method != "HEAD" {
+            self.send_part(stored, &part).await?;
         }
-        text.push_str(if close {
-            "Connection: close\r\n\r\n"
-        } else {
-            "\r\n"
-        });
-        self.peer.write(text.as_bytes()).await?;
-        if head.method == "HEAD" {
-            self.peer.finish_request(RequestOutcome::Answered);
-            return Ok(());
+        self.connection.finish_request(RequestOutcome::Answered);
+        Ok(())
+    }
+
+    fn content_head(&self, part: &ContentPart, size: u64, tag: &str, close: bool) -> String {
+        let ContentPart { start, end, .. } = part;
+        let mut head = status_line(if part.is_partial { 206 } else { 200 });
+        head.push_str("Content-Type: application/jsonl\r\n");
+        let _ = write!(head, "x-request-id: {}\r\n", self.request_id);
+        let _ = write!(head, "Content-Length: {}\r\n", end - start);
+        head.push_str("Accept-Ranges: bytes\r\n");
+        let _ = write!(head, "ETag: {tag}\r\n");
+        if part.is_partial {
+            let last = end - 1;
+            let _ = write!(head, "Content-Range: bytes {start}-{last}/{size}\r\n");
+        }
+        if close {
+            head.push_str("Connection: close\r\n");
         }
-        file.seek(std::io::SeekFrom::Start(from)).await?;
-        let mut rest = file.take(to - from);
-        let mut room = vec![0; READ];
+        head.push_str("\r\n");
+        head
+    }
+
+    async fn send_part(
+        &mut self,
+        mut stored: StoredFile,
+        part: &ContentPart,
+    ) -> Result<(), HttpError> {
+        stored.file.seek(SeekFrom::Start(part.start)).await?;
+        let length = part.end - part.start;
+        let mut content = stored.file.take(length);
+        let mut buffer = vec![0; READ_SIZE_BYTES];
         let mut sent = 0;
-        while sent < to - from {
-            let n = rest.read(&mut room).await?;
-            if n == 0 {
+        while sent < length {
+            let count = content.read(&mut buffer).await?;
+            if count == 0 {
                 return Err(HttpError::ConnectionClosed);
             }
-            self.peer.write(&room[..n]).await?;
-            sent += n as u64;
+            self.connection.write(&buffer[..count]).await?;
+            sent += count as u64;
         }
-        self.peer.finish_request(RequestOutcome::Answered);
         Ok(())
     }
 }
-
-/// What a `Range` asks for.
-#[derive(Debug, PartialEq)]
-enum Range {
-    Whole,
-    /// From the first to before the second byte.
-    Part(u64, u64),
-    None,
-}
-
-/// Reads a `Range`; more than one range, or another unit, comes to the whole, as the standard
-/// allows.
-fn range(text: &str, size: u64) -> Range {
-    let Some((from, to)) = text.strip_prefix("bytes=").and_then(|r| r.split_once('-')) else {
-        return Range::Whole;
-    };
-    match (from.trim().parse::<u64>(), to.trim().parse::<u64>()) {
-        (Ok(from), Ok(to)) if from > to => Range::Whole,
-        (Ok(from), _) if from >= size => Range::None,
-        (Ok(from), Ok(to)) => Range::Part(from, to.saturating_add(1).min(size)),
-        (Ok(from), Err(_)) if to.trim().is_empty() => Range::Part(from, size),
-        (Err(_), Ok(0)) if from.trim().is_empty() => Range::None,
-        (Err(_), Ok(last)) if from.trim().is_empty() && size > 0 => {
-            Range::Part(size.saturating_sub(last), size)
-        }
-        _ => Range::Whole,
-    }
-}
-
-#[cfg(test)]
-mod tests;
--- a/src/batch/http_api/errors.rs
+++ b/src/batch/http_api/errors.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in files and batches, in the public form.
+//! The errors of requests, in the public form.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -8,51 +8,15 @@
 use crate::batch::store::StoreError;
 use crate::net::http::HttpError;
 
-/// When a client may come back to a store that is full or fails.
-const STORE_RETRY: Duration = Duration::from_secs(5);
+/// The Retry-After of a spool that is full or fails: time to delete files, or for a short failure
+/// to pass.
+const SPOOL_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-impl From<StoreError> for ApiError {
-    fn from(e: StoreError) -> ApiError {
-        let status = match e {
-            StoreError::Unknown => 404,
-            StoreError::Busy | StoreError::Incomplete | StoreError::WrongOffset { .. } => 409,
-            StoreError::TooLarge { .. } => 413,
-            StoreError::Full => 507,
-            StoreError::Io(ref e)
-                if matches!(e.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded) =>
-            {
-                507
-            }
-            StoreError::Io(_) => 503,
-        };
-        let error = ApiError::new(status, None, e.to_string());
-        let error = error.retry_in(matches!(status, 503 | 507).then_some(STORE_RETRY));
-        if let StoreError::WrongOffset { end: at } = e {
-            error.with("Upload-Offset", at.to_string())
-        } else {
-            error
-        }
-    }
-}
-
-impl From<JobError> for ApiError {
-    fn from(e: JobError) -> ApiError {
-        match e {
-            JobError::Unknown => ApiError::new(404, None, e.to_string()),
-            JobError::Ended => ApiError::new(409, None, e.to_string()),
-            JobError::Full => ApiError::new(429, None, e.to_string()),
-            JobError::File(StoreError::Unknown) => {
-                ApiError::new(404, "input_file_id", e.to_string())
-            }
-            JobError::File(e @ StoreError::Io(_)) => e.into(),
-            JobError::File(_) => ApiError::new(400, "input_file_id", e.to_string()),
-        }
-    }
-}
-
-/// What goes wrong on a request: the client is told, or the connection is over.
-pub(in crate::batch) enum RequestError {
+/// Why a request has no response.
+pub(super) enum RequestError {
+    /// It is rejected with this error.
     Api(ApiError),
+    /// It could not be read.
     Http(HttpError),
 }
 
@@ -68,5 +32,44 @@
     }
 }
 
+impl From<StoreError> for ApiError {
+    fn from(error: StoreError) -> ApiError {
+        let status = store_status(&error);
+        let retry_after = matches!(status, 503 | 507).then_some(SPOOL_RETRY_AFTER);
+        let api_error = ApiError::new(status, None, error.to_string()).retry_in(retry_after);
+        match error {
+            StoreError::WrongOffset { end } => api_error.with("Upload-Offset", end.to_string()),
+            _ => api_error,
+        }
+    }
+}
+
+fn store_status(error: &StoreError) -> u16 {
+    match error {
+        StoreError::Unknown => 404,
+        StoreError::Busy | StoreError::Incomplete | StoreError::WrongOffset { .. } => 409,
+        StoreError::TooLarge { .. } => 413,
+        StoreError::Full => 507,
+        StoreError::Io(e) => match e.kind() {
+            ErrorKind::StorageFull | ErrorKind::QuotaExceeded => 507,
+            _ => 503,
+        },
+    }
+}
+
+impl From<JobError> for ApiError {
+    fn from(error: JobError) -> ApiError {
+        let message = error.to_string();
+        match error {
+            JobError::Unknown => ApiError::new(404, None, message),
+            JobError::Ended => ApiError::new(409, None, message),
+            JobError::Full => ApiError::new(429, None, message),
+            JobError::File(StoreError::Unknown) => ApiError::new(404, "input_file_id", message),
+            JobError::File(e @ StoreError::Io(_)) => e.into(),
+            JobError::File(_) => ApiError::new(400, "input_file_id", message),
+        }
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/batch/http_api/form.rs
@@ -0,0 +1,159 @@
+//! `POST /v1/files`: uploads a file as a form, which is streamed to the spool.
+
+use std::io;
+
+use bytes::Bytes;
+use multer::{Field, Multipart};
+use tokio::sync::mpsc;
+
+use super::errors::RequestError;
+use super::session::Session;
+use super::uploads::{DEFAULT_FILE_NAME, INPUT_PURPOSE, UPLOAD_STALL_TIMEOUT};
+use crate::api::ApiError;
+use crate::batch::store::{FileInfo, NewFile, Store, StoreError};
+use crate::edge::Caller;
+use crate::net::http::{Body, Framing, Head, HttpError, is_safe_header_value};
+use crate::net::listener::ClientConnection;
+
+/// The most bytes of a form beside its file, and of a field.
+const MAX_FIELD_BYTES: usize = 64 << 10;
+/// Parts of the body that wait to be parsed at most.
+const MAX_BUFFERED_PARTS: usize = 4;
+
+impl Session {
+    /// Receives a form with a `purpose` and a `file`; returns the file's description.
+    pub(super) async fn upload_form(
+        &mut self,
+        head: &Head,
+        body: &mut Body,
+    ) -> Result<FileInfo, RequestError> {
+        let content_type = head.get("content-type");
+        let boundary = content_type.and_then(|text| multer::parse_boundary(text).ok());
+        let boundary =
+            boundary.ok_or_else(|| invalid_form("the body must be multipart/form-data"))?;
+        let context = self.context.clone();
+        let store = &context.store;
+        let max_bytes = store.max_file_bytes();
+        let max_body_bytes = max_bytes + MAX_FIELD_BYTES as u64;
+        if matches!(head.framing(false)?, Framing::Length(length) if length > max_body_bytes) {
+            return Err(StoreError::TooLarge { max_bytes }.into());
+        }
+        self.connection.send_continue(head).await?;
+        let (sender, mut receiver) = mpsc::channel::<io::Result<Bytes>>(MAX_BUFFERED_PARTS);
+        let stream = futures_util::stream::poll_fn(move |context| receiver.poll_recv(context));
+        let upload = FormUpload {
+            store,
+            owner: &self.caller,
+            file: None,
+            purpose: None,
+        };
+        let form = upload.read(Multipart::new(stream, boundary));
+        let forwarding = forward_body(&mut self.connection, body, sender);
+        tokio::pin!(form, forwarding);
+        let uploaded = tokio::select! {
+            uploaded = &mut form => uploaded,
+            forwarded = &mut forwarding => {
+                forwarded?;
+                form.await
+            }
+        };
+        Ok(uploaded?)
+    }
+}
+
+/// Forwards a body to the parser of its form. Dropping the sender ends the form.
+async fn forward_body(
+    connection: &mut ClientConnection,
+    body: &mut Body,
+    sender: mpsc::Sender<io::Result<Bytes>>,
+) -> Result<(), HttpError> {
+    while let Some(bytes) = connection
+        .receive_upload_part(body, UPLOAD_STALL_TIMEOUT)
+        .await?
+    {
+        // a form that has been rejected needs no more
+        if sender.send(Ok(bytes)).await.is_err() {
+            break;
+        }
+    }
+    Ok(())
+}
+
+/// The upload of a file by a form.
+struct FormUpload<'a> {
+    store: &'a Store,
+    owner: &'a Caller,
+    /// The file, once it has been created.
+    file: Option<FileInfo>,
+    purpose: Option<String>,
+}
+
+impl FormUpload<'_> {
+    /// Reads the form. A file that was not received completely is deleted, as a form can't be
+    /// resumed.
+    async fn read(mut self, form: Multipart<'_>) -> Result<FileInfo, ApiError> {
+        let result = self.read_fields(form).await;
+        if let (Err(_), Some(file)) = (&result, &self.file) {
+            let _ = self.store.remove(&file.id).await;
+        }
+        result
+    }
+
+    async fn read_fields(&mut self, mut form: Multipart<'_>) -> Result<FileInfo, ApiError> {
+        while let Some(mut field) = form.next_field().await.map_err(malformed_form)? {
+            if field.name() == Some("file") && self.file.is_none() {
+                self.receive_file(&mut field).await?;
+                continue;
+            }
+            let text = read_text(&mut field).await?;
+            if field.name() == Some("purpose") {
+                self.purpose = Some(text);
+            }
+        }
+        if self.purpose.as_deref() != Some(INPUT_PURPOSE) {
+            return Err(ApiError::new(400, "purpose", "purpose must be batch"));
+        }
+        let file = self.file.as_ref();
+        let id = &file
+            .ok_or_else(|| invalid_form("the form holds no file"))?
+            .id;
+        let end = self.store.info(id)?.bytes;
+        Ok(self.store.append(id, end).await?.finish()?)
+    }
+
+    async fn receive_file(&mut self, field: &mut Field<'_>) -> Result<(), ApiError> {
+        let name = field.file_name().filter(|name| is_safe_header_value(name));
+        let new = NewFile {
+            name: name.unwrap_or(DEFAULT_FILE_NAME),
+            purpose: INPUT_PURPOSE,
+            total_bytes: None,
+            owner: self.owner,
+        };
+        let info = self.store.create(new).await?;
+        let file = self.file.insert(info);
+        let mut appender = self.store.append(&file.id, 0).await?;
+        while let Some(bytes) = field.chunk().await.map_err(malformed_form)? {
+            appender.write(&bytes).await?;
+        }
+        Ok(())
+    }
+}
+
+async fn read_text(field: &mut Field<'_>) -> Result<String, ApiError> {
+    let mut text = Vec::new();
+    while let Some(bytes) = field.chunk().await.map_err(malformed_form)? {
+        if text.len() + bytes.len() > MAX_FIELD_BYTES {
+            return Err(invalid_form("a field of the form is too long"));
+        }
+        text.extend_from_slice(&bytes);
+    }
+    Ok(String::from_utf8_lossy(&text).into_owned())
+}
+
+fn malformed_form(error: multer::Error) -> ApiError {
+    invalid_form(&error.to_string())
+}
+
+fn invalid_form(message: &str) -> ApiError {
+    ApiError::new(400, "file", message)
+}
--- a/src/batch/http_api/idempotency.rs
+++ b/src/batch/http_api/idempotency.rs
@@ -1,75 +1,103 @@
-//! Idempotency keys: a create that is repeated under its key is answered as the first one was.
+//! Idempotency keys: a request that creates something, and is repeated with its key, gets what the
+//! first one created.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{BuildHasher, RandomState};
-use std::sync::{Mutex, PoisonError};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use crate::api::ApiError;
 
-/// Idempotency keys that are remembered.
-const KEYS: usize = 1024;
+/// The header, as errors name it.
+const HEADER: &str = "Idempotency-Key";
+/// The most keys that are remembered; the oldest is forgotten first.
+const MAX_KEYS: usize = 1024;
+/// The longest key, with its scope.
+const MAX_KEY_BYTES: usize = 255;
 
-/// What was created under each key.
+/// The keys that are remembered.
 #[derive(Default)]
-pub(super) struct IdempotencyKeys(Mutex<Keys>);
+pub(super) struct IdempotencyKeys {
+    table: Mutex<KeyTable>,
+}
 
 #[derive(Default)]
-struct Keys {
-    random: RandomState,
-    made: HashMap<String, (u64, Option<String>)>,
+struct KeyTable {
+    hasher: RandomState,
+    entries: HashMap<String, KeyEntry>,
+    /// The keys, the oldest first.
     order: VecDeque<String>,
 }
 
+struct KeyEntry {
+    /// The hash of the request that the key was used with.
+    request_hash: u64,
+    /// The id of what was created; none while the request is in progress.
+    created_id: Option<String>,
+}
+
+/// What a key stands for.
+pub(super) enum Claim {
+    /// It is new: the request is to be executed, and the key completed.
+    New,
+    /// The request was executed before, and created what has this id.
+    Created(String),
+}
+
 impl IdempotencyKeys {
-    /// Whether a key is new (none), or what it made; the same key for something else is an error.
-    pub(super) fn take(&self, key: &str, asked: &[u8]) -> Result<Option<String>, ApiError> {
-        if key.is_empty() || key.len() > 255 {
-            return Err(ApiError::new(
-                400,
-                "Idempotency-Key",
-                "Idempotency-Key must hold 1 to 255 bytes",
-            ));
+    fn lock(&self) -> MutexGuard<'_, KeyTable> {
+        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Claims a key for a request. Fails if the key was used with another request, or the first
+    /// request with it is still in progress.
+    pub(super) fn claim(&self, key: &str, request: &[u8]) -> Result<Claim, ApiError> {
+        if key.is_empty() || key.len() > MAX_KEY_BYTES {
+            let message = format!("{HEADER} must hold 1 to {MAX_KEY_BYTES} bytes");
+            return Err(ApiError::new(400, HEADER, message));
+        }
+        let mut table = self.lock();
+        let request_hash = table.hasher.hash_one(request);
+        let Some(entry) = table.entries.get(key) else {
+            table.insert(key, request_hash);
+            return Ok(Claim::New);
+        };
+        if entry.request_hash != request_hash {
+            let message = "this Idempotency-Key was used for another request";
+            return Err(ApiError::new(422, HEADER, message));
+        }
+        match &entry.created_id {
+            Some(id) => Ok(Claim::Created(id.clone())),
+            None => Err(ApiError::new(409, HEADER, "the first request is under way")),
         }
-        let mut keys = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let asked = keys.random.hash_one(asked);
-        match keys.made.get(key) {
-            Some((for_what, _)) if *for_what != asked => Err(ApiError::new(
-                422,
-                "Idempotency-Key",
-                "this Idempotency-Key was used for another request",
-            )),
-            Some((_, Some(id))) => Ok(Some(id.clone())),
-            Some((_, None)) => Err(ApiError::new(
-                409,
-                "Idempotency-Key",
-                "the first request is under way",
-            )),
-            None => {
-                if keys.order.len() >= KEYS
-                    && let Some(oldest) = keys.order.pop_front()
-                {
-                    keys.made.remove(&oldest);
-                }
-                keys.order.push_back(key.to_string());
-                keys.made.insert(key.to_string(), (asked, None));
-                Ok(None)
-            }
+    }
+
+    /// Completes a key with the id of what was created. Without one, the request failed, and the
+    /// key can be used again.
+    pub(super) fn complete(&self, key: &str, created_id: Option<&str>) {
+        let mut table = self.lock();
+        let Some(id) = created_id else {
+            table.entries.remove(key);
+            table.order.retain(|other| other != key);
+            return;
+        };
+        if let Some(entry) = table.entries.get_mut(key) {
+            entry.created_id = Some(id.to_string());
         }
     }
+}
 
-    /// What a key made; nothing, and it can be used again.
-    pub(super) fn made(&self, key: &str, id: Option<&str>) {
-        let mut keys = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        match id {
-            Some(id) => {
-                keys.made
-                    .entry(key.to_string())
-                    .and_modify(|m| m.1 = Some(id.to_string()));
-            }
-            None => {
-                keys.made.remove(key);
-                keys.order.retain(|k| k != key);
-            }
+impl KeyTable {
+    fn insert(&mut self, key: &str, request_hash: u64) {
+        if self.order.len() >= MAX_KEYS
+            && let Some(oldest) = self.order.pop_front()
+        {
+            self.entries.remove(&oldest);
         }
+        let entry = KeyEntry {
+            request_hash,
+            created_id: None,
+        };
+        self.order.push_back(key.to_string());
+        self.entries.insert(key.to_string(), entry);
     }
 }
--- a/src/batch/http_api/uploads.rs
+++ b/src/batch/http_api/uploads.rs
@@ -1,102 +1,66 @@
-//! Files handed in: by a form, or as uploads that go on by offset.
+//! `/v1/uploads`: resumable uploads, whose parts are appended by offset.
 
-use bytes::Bytes;
-use tokio::sync::mpsc;
+use std::time::Duration;
 
+use super::errors::RequestError;
+use super::idempotency::Claim;
+use super::pagination::{query, query_value};
+use super::response::Response;
+use super::routes::no_such_method;
+use super::session::Session;
 use crate::api::{ApiError, Reply};
-use crate::batch::store::{FileInfo, NewFile, Store, StoreError};
-use crate::edge::Caller;
-use crate::net::http::{Body, Framing, Head, HttpError, is_safe_header_value};
+use crate::batch::store::{FileInfo, NewFile, StoreError};
+use crate::net::http::{Body, Head};
 
-use super::{FORM, RequestError, STALLED, Session};
+/// How long an upload may bring no byte until its connection counts as failed. What has arrived
+/// stays.
+pub(super) const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(60);
+/// The name of a file whose client gives none.
+pub(super) const DEFAULT_FILE_NAME: &str = "upload.jsonl";
+/// The purpose of a batch's input file.
+pub(super) const INPUT_PURPOSE: &str = "batch";
 
 impl Session {
-    /// `POST /v1/files`: a form with `purpose` and `file`; the file streams to the spool.
-    pub(super) async fn upload_form(
+    /// Handles a request for uploads. The path is what follows `/v1/uploads`.
+    pub(super) async fn route_uploads(
         &mut self,
         head: &Head,
         body: &mut Body,
-    ) -> Result<Reply, RequestError> {
-        let bad = |message: &str| ApiError::new(400, "file", message);
-        let boundary = head
-            .get("content-type")
-            .and_then(|t| multer::parse_boundary(t).ok());
-        let boundary = boundary.ok_or_else(|| bad("the body must be multipart/form-data"))?;
-        let max_bytes = self.front.store.max_file_bytes();
-        let most = max_bytes + FORM;
-        if matches!(head.framing(false)?, Framing::Length(n) if n > most) {
-            return Err(StoreError::TooLarge { max_bytes }.into());
-        }
-        self.peer.send_continue(head).await?;
-        let (to, mut from) = mpsc::channel::<Result<Bytes, std::io::Error>>(4);
-        let stream = futures_util::stream::poll_fn(move |context| from.poll_recv(context));
-        let caller = self.caller.clone();
-        let form = read_form(
-            &self.front.store,
-            multer::Multipart::new(stream, boundary),
-            &caller,
-        );
-        let peer = &mut self.peer;
-        // owns the sender, whose drop ends the form's stream
-        let fed = async move {
-            loop {
-                let Some(bytes) = peer.receive_upload_part(body, STALLED).await? else {
-                    return Ok::<(), HttpError>(());
-                };
-                // a form that has been turned down wants no more of it
-                if to.send(Ok(bytes)).await.is_err() {
-                    return Ok(());
+        path: &[&str],
+    ) -> Result<Response, RequestError> {
+        let reply = match (head.method.as_str(), path) {
+            ("POST", []) => self.create_upload(head, body).await?,
+            ("HEAD" | "GET", [id]) => {
+                let info = self.visible_file(id)?;
+                Reply {
+                    headers: offset_headers(&info),
+                    ..Reply::json(info.object())
                 }
             }
+            ("PATCH", [id]) => self.append_upload(id, head, body).await?,
+            _ => return Err(no_such_method().into()),
         };
-        tokio::pin!(form, fed);
-        let made = tokio::select! {
-            made = &mut form => made,
-            fed = &mut fed => match fed {
-                Ok(()) => form.await,
-                Err(e) => Err(e.into()),
-            },
-        };
-        Ok(Reply::json(made?.object()))
+        Ok(reply.into())
     }
 
-    /// `POST /v1/uploads`: an upload of a stated length, which then goes on by offset.
-    pub(super) async fn create_upload(
-        &mut self,
-        head: &Head,
-        body: &mut Body,
-    ) -> Result<Reply, RequestError> {
-        let asked = self.small(head, body).await?;
-        let total = head
-            .get("upload-length")
-            .and_then(|n| n.parse::<u64>().ok());
-        let total = total.ok_or(ApiError::new(
+    /// Creates an upload of an announced length.
+    async fn create_upload(&mut self, head: &Head, body: &mut Body) -> Result<Reply, RequestError> {
+        let received = self.receive_body(head, body).await?.bytes;
+        let total = number_header(head, "upload-length").ok_or(ApiError::new(
             400,
             "Upload-Length",
             "Upload-Length must tell the file's bytes",
         ))?;
-        let query = head.target.split_once('?').map_or("", |(_, q)| q);
-        let name = form_urlencoded::parse(query.as_bytes()).find(|(k, _)| k == "filename");
-        let name = name.map_or_else(|| "upload.jsonl".into(), |(_, v)| v.into_owned());
-        let key = self.key(head, "upload");
-        let known = match &key {
-            Some(key) => self
-                .front
-                .keys
-                .take(key, format!("{total} {query} {asked:?}").as_bytes())?,
-            None => None,
-        };
-        let made = match known {
-            Some(id) => self.front.store.info(&id),
-            None => self.start_upload(&name, total).await,
+        let query = query(head);
+        let name = query_value(head, "filename").unwrap_or_else(|| DEFAULT_FILE_NAME.into());
+        let info = match self.idempotency_key(head, "upload") {
+            None => self.start_upload(&name, total).await?,
+            Some(key) => {
+                let request = format!("{total} {query} {received:?}");
+                self.start_upload_once(&key, &request, &name, total).await?
+            }
         };
-        if let Some(key) = &key {
-            self.front
-                .keys
-                .made(key, made.as_ref().ok().map(|m| m.id.as_str()));
-        }
-        let info = made?;
-        let mut headers = offset(&info);
+        let mut headers = offset_headers(&info);
         headers.push(("Location", format!("/v1/uploads/{}", info.id)));
         Ok(Reply {
             status: 201,
@@ -105,119 +69,80 @@
         })
     }
 
-    pub(super) async fn start_upload(
+    /// Starts an upload, unless the same request with this idempotency key did so before.
+    async fn start_upload_once(
         &self,
+        key: &str,
+        request: &str,
         name: &str,
         total: u64,
-    ) -> Result<FileInfo, StoreError> {
+    ) -> Result<FileInfo, RequestError> {
+        let keys = &self.context.idempotency_keys;
+        let created = match keys.claim(key, request.as_bytes())? {
+            Claim::Created(id) => self.context.store.info(&id),
+            Claim::New => self.start_upload(name, total).await,
+        };
+        let info = created.as_ref().ok();
+        keys.complete(key, info.map(|info| info.id.as_str()));
+        Ok(created?)
+    }
+
+    async fn start_upload(&self, name: &str, total: u64) -> Result<FileInfo, StoreError> {
+        let store = &self.context.store;
         let new = NewFile {
             name,
-            purpose: "batch",
+            purpose: INPUT_PURPOSE,
             total_bytes: Some(total),
             owner: &self.caller,
         };
-        let info = self.front.store.create(new).await?;
+        let info = store.create(new).await?;
         if total == 0 {
-            self.front.store.append(&info.id, 0).await?.finish()
-        } else {
-            Ok(info)
+            return store.append(&info.id, 0).await?.finish();
         }
+        Ok(info)
     }
 
-    /// `PATCH /v1/uploads/ID`: what came of it stays, wherever the link breaks.
-    pub(super) async fn go_on_upload(
+    /// Appends a part to an upload. What has arrived of it stays, wherever the connection breaks.
+    async fn append_upload(
         &mut self,
         id: &str,
         head: &Head,
         body: &mut Body,
     ) -> Result<Reply, RequestError> {
-        let at = head
-            .get("upload-offset")
-            .and_then(|n| n.parse::<u64>().ok());
-        let at = at.ok_or(ApiError::new(
+        let offset = number_header(head, "upload-offset").ok_or(ApiError::new(
             400,
             "Upload-Offset",
             "Upload-Offset must tell where these bytes go on",
         ))?;
-        self.file(id)?;
-        let mut appender = self.front.store.append(id, at).await?;
-        self.peer.send_continue(head).await?;
-        loop {
-            let Some(bytes) = self.peer.receive_upload_part(body, STALLED).await? else {
-                break;
-            };
+        self.visible_file(id)?;
+        let context = self.context.clone();
+        let mut appender = context.store.append(id, offset).await?;
+        self.connection.send_continue(head).await?;
+        while let Some(bytes) = self
+            .connection
+            .receive_upload_part(body, UPLOAD_STALL_TIMEOUT)
+            .await?
+        {
             appender.write(&bytes).await?;
         }
-        let mut info = self.front.store.info(id)?;
+        let mut info = context.store.info(id)?;
         if info.total_bytes == Some(info.bytes) {
             info = appender.finish()?;
         }
-        Ok(Reply::empty(204, offset(&info)))
+        Ok(Reply::empty(204, offset_headers(&info)))
     }
 }
 
-/// Reads an upload's form.
-async fn read_form(
-    store: &Store,
-    mut form: multer::Multipart<'_>,
-    caller: &Caller,
-) -> Result<FileInfo, RequestError> {
-    let bad = |message: String| ApiError::new(400, "file", message);
-    let mut purpose = None;
-    let mut made: Option<FileInfo> = None;
-    let done = async {
-        while let Some(mut field) = form.next_field().await.map_err(|e| bad(e.to_string()))? {
-            if field.name() == Some("file") && made.is_none() {
-                let name = field
-                    .file_name()
-                    .filter(|n| is_safe_header_value(n))
-                    .unwrap_or("upload.jsonl")
-                    .to_string();
-                let new = NewFile {
-                    name: &name,
-                    purpose: "batch",
-                    total_bytes: None,
-                    owner: caller,
-                };
-                let info = made.insert(store.create(new).await?);
-                let mut appender = store.append(&info.id, 0).await?;
-                while let Some(bytes) = field.chunk().await.map_err(|e| bad(e.to_string()))? {
-                    appender.write(&bytes).await?;
-                }
-            } else {
-                let mut text = Vec::new();
-                let named = field.name() == Some("purpose");
-                while let Some(bytes) = field.chunk().await.map_err(|e| bad(e.to_string()))? {
-                    if text.len() + bytes.len() > FORM as usize {
-                        return Err(bad("a field of the form is too long".into()));
-                    }
-                    text.extend_from_slice(&bytes);
-                }
-                if named {
-                    purpose = Some(String::from_utf8_lossy(&text).into_owned());
-                }
-            }
-        }
-        if purpose.as_deref() != Some("batch") {
-            return Err(ApiError::new(400, "purpose", "purpose must be batch"));
-        }
-        let info = made
-            .as_ref()
-            .ok_or_else(|| bad("the form holds no file".into()))?;
-        let bytes = store.info(&info.id)?.bytes;
-        Ok(store.append(&info.id, bytes).await?.finish()?)
-    };
-    let done = done.await;
-    if let (Err(_), Some(info)) = (&done, &made) {
-        // a form can't be gone on with: what came of it is of no use
-        let _ = store.remove(&info.id).await;
-    }
-    Ok(done?)
+fn number_header(head: &Head, name: &str) -> Option<u64> {
+    head.get(name)?.parse().ok()
 }
 
-pub(super) fn offset(info: &FileInfo) -> Vec<(&'static str, String)> {
+/// The headers that say where an upload is to be resumed.
+fn offset_headers(info: &FileInfo) -> Vec<(&'static str, String)> {
     let mut headers = vec![("Upload-Offset", info.bytes.to_string())];
-    headers.extend(info.total_bytes.map(|t| ("Upload-Length", t.to_string())));
+    if let Some(total) = info.total_bytes {
+        headers.push(("Upload-Length", total.to_string()));
+    }
     headers.push(("Cache-Control", "no-store".into()));
     headers
 }
--- a/src/batch/mod.rs
+++ b/src/batch/mod.rs
@@ -1,6 +1,9 @@
-//! The batch front: files in, batches of `batch-mark` RPCs through the core, one result file out.
+//! The batch service: clients upload files and create batches, whose lines are run as requests
+//! through the core or the edge, and download one result file for each.
+//!
 //! Its HTTP API follows the public OpenAI-style Files and Batches API, with resumable uploads for
-//! poor links.
+//! poor links, and serves the edge's live chat requests at the same address. [`http_api`] and
+//! [`jobs`] know the store and the edge; neither the jobs nor the store know the HTTP API.
 
 pub mod completion;
 pub mod concurrency;
@@ -8,187 +11,109 @@
 pub mod http_api;
 pub mod jobs;
 pub mod line;
+mod options;
 pub mod store;
 
-use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
 
-use serde::Deserialize;
 use tokio::net::TcpListener;
 
-use crate::config::{Config, ConfigError, read_file};
+use crate::config::{Config, ConfigError};
 use crate::core::CoreHandle;
 use crate::error::RunError;
 use crate::log_limit::LogLimit;
 use crate::net::listener::{self, ListenerContext};
 
-/// The batch front's own configuration, `deploy/batch.toml`.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Options {
-    /// Where its clients connect.
-    pub listen: String,
-    /// The folder for files; a path that is not absolute lies under `$TMPDIR`.
-    pub spool: PathBuf,
-    /// An inventory of hosts, in place of discovery.
-    pub inventory: Option<PathBuf>,
-    /// The class of the lines' RPCs.
-    #[serde(default = "class")]
-    pub class: String,
-    /// The endpoints that a batch may name.
-    #[serde(default = "endpoints")]
-    pub endpoints: Vec<String>,
-    /// Lines in flight at the most.
-    #[serde(default = "window")]
-    pub window: usize,
-    /// Limits.
-    #[serde(default)]
-    pub limits: Limits,
-}
-
-/// The batch front's limits.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Limits {
-    /// A file's size.
-    pub file_mb: u64,
-    /// The size of all files, results too.
-    pub spool_mb: u64,
-    /// Files.
-    pub files: usize,
-    /// Lines of a file.
-    pub lines: u64,
-    /// A line's size; the platform's bodies hold 256 KiB.
-    pub line_kb: usize,
-    /// Batches that are remembered.
-    pub batches: usize,
-    /// Seconds that a batch may ask for to be completed.
-    pub window_s: u64,
-}
-
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
-            file_mb: 100,
-            spool_mb: 1024,
-            files: 256,
-            lines: 50_000,
-            line_kb: 256,
-            batches: 128,
-            window_s: 7 * 86_400,
-        }
-    }
-}
+use concurrency::ConcurrencyLimit;
+use edge_access::EdgeAccess;
+use http_api::HttpContext;
+use jobs::{BatchJobs, JobContext, JobOptions};
+use store::{Store, StoreLimits};
 
-fn class() -> String {
-    "batch-mark".into()
-}
-
-fn endpoints() -> Vec<String> {
-    vec!["/v1/chat/completions".into()]
-}
-
-fn window() -> usize {
-    16
-}
+pub use options::{Limits, Options};
 
-impl Options {
-    /// Reads the file.
-    pub fn load(path: &Path) -> Result<Options, ConfigError> {
-        let malformed = |e: toml::de::Error| ConfigError::malformed(path, e.to_string());
-        let mut options: Options = toml::from_str(&read_file(path)?).map_err(malformed)?;
-        if options.spool.is_relative() {
-            options.spool = std::env::temp_dir().join(&options.spool);
-        }
-        if let Some(inventory) = options.inventory.take_if(|i| i.is_relative()) {
-            options.inventory = Some(path.parent().unwrap_or(Path::new("")).join(inventory));
-        }
-        Ok(options)
-    }
-}
-
-/// The batch front, listening and ready to serve.
-pub struct Ready {
+/// The batch service, listening and ready to serve.
+pub struct BatchService {
     listener: TcpListener,
-    front: Arc<http_api::HttpContext>,
-    context: ListenerContext,
-    jobs: jobs::BatchJobs,
+    listener_context: ListenerContext,
+    http_context: Arc<HttpContext>,
+    jobs: BatchJobs,
 }
 
-/// Opens the spool and the listening address.
+/// Opens the spool and listens on the address.
 pub async fn open(
     options: Options,
     config: &Config,
     core: CoreHandle,
-    context: ListenerContext,
-    live: Option<edge_access::EdgeAccess>,
-) -> Result<Ready, RunError> {
-    let class = config.classes.iter().position(|c| *c == options.class);
-    let class = class.ok_or(ConfigError::Missing(
-        "the batch front's class (among the settings' classes)",
-    ))?;
-    let listen = &options.listen;
-    let listener = TcpListener::bind(listen)
+    listener_context: ListenerContext,
+    edge: Option<EdgeAccess>,
+) -> Result<BatchService, RunError> {
+    let job_options = job_options(&options, config)?;
+    let listener = TcpListener::bind(&options.listen)
         .await
-        .map_err(|e| RunError::listen(listen, e))?;
-    let limits = &options.limits;
-    let limits = store::StoreLimits {
-        file_bytes: limits.file_mb << 20,
-        spool_bytes: limits.spool_mb << 20,
-        files: limits.files,
-    };
-    let opened = store::Store::open(&options.spool, limits);
-    let store = opened.map_err(|e| RunError::spool(&options.spool, e))?;
-    let job_options = jobs::JobOptions {
-        class: class as u32,
-        class_name: options.class.clone(),
-        request_timeout: Duration::from_micros(config.settings.classes[class].deadline.0),
-        max_lines: options.limits.lines,
-        max_line_bytes: options.limits.line_kb << 10,
-        max_batches: options.limits.batches.max(1),
-    };
-    let jobs = jobs::BatchJobs::new(jobs::JobContext {
-        concurrency: concurrency::ConcurrencyLimit::new(options.window, core.clone()),
+        .map_err(|e| RunError::listen(&options.listen, e))?;
+    let store = open_store(&options)?;
+    let jobs = BatchJobs::new(JobContext {
+        concurrency: ConcurrencyLimit::new(options.window, core.clone()),
         core,
-        edge: live.clone(),
+        edge: edge.clone(),
         store: store.clone(),
         options: job_options,
-        shutting_down: context.shutting_down.clone(),
+        shutting_down: listener_context.shutting_down.clone(),
         spool_log: Arc::new(LogLimit::new()),
     });
-    let longest = Duration::from_secs(options.limits.window_s);
-    let front = Arc::new(http_api::HttpContext::new(
+    let max_completion_window = Duration::from_secs(options.limits.window_s);
+    let http_context = HttpContext::new(
         store,
         jobs.clone(),
+        edge,
         options.endpoints,
-        longest,
-        live,
-    ));
-    Ok(Ready {
+        max_completion_window,
+    );
+    Ok(BatchService {
         listener,
-        front,
-        context,
+        listener_context,
+        http_context: Arc::new(http_context),
         jobs,
     })
 }
 
-impl Ready {
-    /// Where it listens.
+fn open_store(options: &Options) -> Result<Store, RunError> {
+    let limits = StoreLimits {
+        file_bytes: options.limits.file_mb << 20,
+        spool_bytes: options.limits.spool_mb << 20,
+        files: options.limits.files,
+    };
+    Store::open(&options.spool, limits).map_err(|e| RunError::spool(&options.spool, e))
+}
+
+fn job_options(options: &Options, config: &Config) -> Result<JobOptions, ConfigError> {
+    let class = config.classes.iter().position(|c| *c == options.class);
+    let class = class.ok_or(ConfigError::Missing(
+        "the batch front's class (among the settings' classes)",
+    ))?;
+    Ok(JobOptions {
+        class: class as u32,
+        class_name: options.class.clone(),
+        request_timeout: Duration::from_micros(config.settings.classes[class].deadline.0),
+        max_lines: options.limits.lines,
+        max_line_bytes: options.limits.line_kb << 10,
+        max_batches: options.limits.batches.max(1),
+    })
+}
+
+impl BatchService {
+    /// The address that it listens on.
     pub fn address(&self) -> std::io::Result<std::net::SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Serves until the program's end, with every line's outcome written.
+    /// Serves until the process shuts down and every line's outcome has been written.
     pub async fn serve(self) {
-        let handle = listener::handler(self.front, http_api::run);
-        listener::serve(
-            self.context,
-            http_api::CLIENT_TIMEOUTS,
-            self.listener,
-            handle,
-        )
-        .await;
+        let handle = listener::handler(self.http_context, http_api::run);
+        let timeouts = http_api::CLIENT_TIMEOUTS;
+        listener::serve(self.listener_context, timeouts, self.listener, handle).await;
         self.jobs.settle().await;
     }
 }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -54,7 +54,7 @@
     admin: Option<AdminFront>,
     handover: Option<HandoverStart>,
     platform: Option<PlatformFront>,
-    batch: Option<batch::Ready>,
+    batch: Option<batch::BatchService>,
     listener_context: ListenerContext,
     reloader: Reloader,
 }
@@ -135,7 +135,7 @@
     }
 }
 
-async fn serve_batch(batch: Option<batch::Ready>) {
+async fn serve_batch(batch: Option<batch::BatchService>) {
     if let Some(batch) = batch {
         batch.serve().await;
     }
--- a/src/router/open/fronts.rs
+++ b/src/router/open/fronts.rs
@@ -25,7 +25,7 @@
     actors: &Actors,
     listener_context: &ListenerContext,
     request_ids: &RequestIds,
-) -> Result<Option<batch::Ready>, RunError> {
+) -> Result<Option<batch::BatchService>, RunError> {
     let Some(options) = options else {
         return Ok(None);
     };
