--- a/src/batch/mod.rs
+++ b/src/batch/mod.rs
@@ -96,7 +96,7 @@
     Ok(JobOptions {
         class: class as u32,
         class_name: options.class.clone(),
-        request_timeout: Duration::from_micros(config.settings.classes[class].deadline.0),
+        request_timeout: Duration::from(config.settings.classes[class].deadline),
         max_lines: options.limits.lines,
         max_line_bytes: options.limits.line_kb << 10,
         max_batches: options.limits.batches.max(1),
--- a/src/spend/gauge/tests.rs
+++ b/src/spend/gauge/tests.rs
@@ -2,26 +2,26 @@
 use proptest::prelude::*;
 
 use super::*;
-use crate::spend::Length;
+use crate::spend::PeriodLength;
 
 const MINUTE: u64 = 60_000_000;
 const HOUR: u64 = 60 * MINUTE;
 const START: u64 = 400_000 * HOUR;
 
-fn at(monotonic: u64, wall: u64) -> Moment {
-    Moment {
-        monotonic: Time(monotonic),
-        wall: Time(START + wall),
+fn at(monotonic: u64, wall: u64) -> ClockReading {
+    ClockReading {
+        monotonic: Timestamp::from_micros(monotonic),
+        wall: Timestamp::from_micros(START + wall),
     }
 }
 
 fn hourly() -> Gauge {
     let period = Period {
-        length: Length::Hour,
+        length: PeriodLength::Hour,
         zone: TimeZone::UTC,
     };
     Gauge::new(
-        &Limit::Each {
+        &BudgetLimit::PerPeriod {
             amount: 100,
             period,
         },
@@ -31,9 +31,9 @@
 }
 
 /// Uses up what the period has left at this moment; how much that was.
-fn use_up(gauge: &mut Gauge, now: Moment) -> Micro {
+fn use_up(gauge: &mut Gauge, now: ClockReading) -> MicroTokens {
     gauge.advance(now);
-    let reading = gauge.reading(now);
+    let reading = gauge.status(now);
     let left = reading.limit - reading.spent;
     gauge.charge(left, 0, 0);
     left
@@ -49,7 +49,7 @@
     assert_eq!(use_up(&mut gauge, at(2 * MINUTE, 32 * MINUTE)), 0);
     assert_eq!(
         gauge.room(0, 1, at(2 * MINUTE, 32 * MINUTE)),
-        Err(Short::Until(Dur(88 * MINUTE)))
+        Err(Short::Until(Span::from_micros(88 * MINUTE)))
     );
     assert_eq!(use_up(&mut gauge, at(40 * MINUTE, 70 * MINUTE)), 0);
     // the hour after it comes as it would have
@@ -59,9 +59,9 @@
 #[test]
 fn drips_refill_in_real_time() {
     let mut gauge = Gauge::new(
-        &Limit::Drip {
+        &BudgetLimit::TokenBucket {
             amount: 100,
-            full_in: Dur(HOUR),
+            refill_time: Span::from_micros(HOUR),
         },
         1,
         at(0, 0),
@@ -72,8 +72,8 @@
     assert_eq!(use_up(&mut gauge, at(30 * MINUTE, 0)), 50);
     // full again by the wall clock as it reads now
     assert_eq!(
-        gauge.reading(at(30 * MINUTE, 0)).refills,
-        Time(START + HOUR)
+        gauge.status(at(30 * MINUTE, 0)).refills_at,
+        Timestamp::from_micros(START + HOUR)
     );
 }
 
