--- /dev/null
+++ b/tests/batch/service.rs
@@ -0,0 +1,142 @@
+//! A router with the batch service, and its clients' requests.
+
+use std::collections::HashSet;
+use std::time::Duration;
+
+use serde_json::{Value, json};
+use stilespan::config::Config;
+use stilespan::router::RouterOptions;
+use tokio::time::{Instant, sleep};
+
+use crate::common::folder::Folder;
+use crate::common::peers::{Client, Got, Router, batch_options, config, start};
+
+/// A line with this `custom_id`; its prompt says the same, so that servers can tell lines apart.
+pub fn line(id: &str) -> String {
+    let message = json!({"role": "user", "content": format!("mark {id}")});
+    let body = json!({"model": "mark", "max_tokens": 60, "messages": [message]});
+    json!({"custom_id": id, "method": "POST", "url": "/v1/chat/completions", "body": body})
+        .to_string()
+}
+
+/// A file of this many lines.
+pub fn lines(count: usize) -> String {
+    (0..count)
+        .map(|number| line(&format!("pupil-{number}")) + "\n")
+        .collect()
+}
+
+/// The `custom_id` of the line that a server got.
+pub fn custom_id(body: &[u8]) -> String {
+    let body: Value = serde_json::from_slice(body).unwrap();
+    body["messages"][0]["content"]
+        .as_str()
+        .unwrap()
+        .replace("mark ", "")
+}
+
+pub async fn request(
+    client: &mut Client,
+    method: &str,
+    path: &str,
+    headers: &str,
+    body: &str,
+) -> Got {
+    let text = format!(
+        "{method} {path} HTTP/1.1\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
+    client.call(text.as_bytes()).await
+}
+
+pub async fn get(client: &mut Client, path: &str) -> Got {
+    request(client, "GET", path, "", "").await
+}
+
+/// Uploads a file by a form; its object.
+pub async fn upload(client: &mut Client, text: &str) -> Value {
+    let body = format!(
+        "--XX\r\nContent-Disposition: form-data; name=\"purpose\"\r\n\r\nbatch\r\n--XX\r\n\
+         Content-Disposition: form-data; name=\"file\"; filename=\"set.jsonl\"\r\n\r\n{text}\r\n--XX--\r\n"
+    );
+    let headers = "Content-Type: multipart/form-data; boundary=XX\r\n";
+    let got = request(client, "POST", "/v1/files", headers, &body).await;
+    assert_eq!(got.head.status, 200, "{got:?}");
+    got.json()
+}
+
+pub async fn create(client: &mut Client, file: &str, window: &str, headers: &str) -> Got {
+    let body = json!({
+        "input_file_id": file,
+        "endpoint": "/v1/chat/completions",
+        "completion_window": window,
+    });
+    request(client, "POST", "/v1/batches", headers, &body.to_string()).await
+}
+
+/// Uploads a file and creates a batch of it; the batch's id.
+pub async fn start_batch(client: &mut Client, text: &str, window: &str) -> String {
+    let file = upload(client, text).await;
+    let batch = create(client, file["id"].as_str().unwrap(), window, "").await;
+    batch.json()["id"].as_str().unwrap().to_string()
+}
+
+/// Waits until a batch has ended; its object.
+pub async fn wait_for_end(client: &mut Client, id: &str) -> Value {
+    let start = Instant::now();
+    loop {
+        let batch = get(client, &format!("/v1/batches/{id}")).await.json();
+        let status = batch["status"].as_str().unwrap();
+        if ["completed", "failed", "cancelled", "expired"].contains(&status) {
+            return batch;
+        }
+        assert!(start.elapsed() < Duration::from_secs(60), "{batch}");
+        sleep(Duration::from_millis(20)).await;
+    }
+}
+
+/// The outcomes in a batch's result file.
+pub async fn outcomes(client: &mut Client, batch: &Value) -> Vec<Value> {
+    let id = batch["output_file_id"].as_str().expect("a result");
+    let got = get(client, &format!("/v1/files/{id}/content")).await;
+    got.body
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect()
+}
+
+/// How many `custom_id`s the outcomes have.
+pub fn count_ids(outcomes: &[Value]) -> usize {
+    let ids: HashSet<_> = outcomes
+        .iter()
+        .map(|outcome| outcome["custom_id"].to_string())
+        .collect();
+    ids.len()
+}
+
+/// Starts a router with the batch service.
+pub async fn start_router(config: Config, folder: &Folder) -> Router {
+    start(router_options(config, folder)).await
+}
+
+/// Starts a router with nothing but the batch service, on an inventory.
+pub async fn start_on_inventory(folder: &Folder, inventory: &std::path::Path) -> Router {
+    let mut config = config(&[], None);
+    config.listen = None;
+    start(RouterOptions {
+        inventory: Some(inventory.to_path_buf()),
+        ..router_options(config, folder)
+    })
+    .await
+}
+
+fn router_options(config: Config, folder: &Folder) -> RouterOptions {
+    RouterOptions {
+        config,
+        batch: Some(batch_options(&folder.path("spool"))),
+        edge: None,
+        inventory: None,
+        config_file: None,
+        inherited: None,
+    }
+}
--- /dev/null
+++ b/tests/batch/uploads.rs
@@ -0,0 +1,109 @@
+//! Resumable uploads over links that break or are slow.
+
+use std::time::Duration;
+
+use serde_json::json;
+use tokio::time::{Instant, sleep};
+
+use crate::common::folder::Folder;
+use crate::common::peers::{Client, Got, answer, config, peer};
+use crate::service::{create, custom_id, get, lines, request, start_router, wait_for_end};
+
+const CREATE: &str = "/v1/uploads?filename=set.jsonl";
+
+#[tokio::test]
+async fn broken_upload_resumes_at_its_offset() {
+    let folder = Folder::new();
+    let server = peer(|_, _, body| answer(&custom_id(body))).await;
+    let hosts = [("s-a", server.address.as_str(), "SERVING")];
+    let router = start_router(config(&hosts, None), &folder).await;
+    let text = lines(40);
+    let mut client = Client::new(&router.batch).await;
+    let headers = format!("Upload-Length: {}\r\nIdempotency-Key: u1\r\n", text.len());
+    let made = request(&mut client, "POST", CREATE, &headers, "").await;
+    let again = request(&mut client, "POST", CREATE, &headers, "").await;
+    assert_eq!(
+        (made.head.status, made.head.get("location")),
+        (201, again.head.get("location"))
+    );
+    let path = made.head.get("location").unwrap().to_string();
+    send_part_and_break(client, &path, &text).await;
+    let mut client = Client::new(&router.batch).await;
+    let offset = wait_for_offset(&mut client, &path, 1234).await;
+    assert_eq!(offset, 1234);
+    let id = path.rsplit('/').next().unwrap();
+    // an incomplete file can't be run
+    assert_eq!(create(&mut client, id, "1h", "").await.head.status, 400);
+    let remainder = append(&mut client, &path, offset, &text[offset..]).await;
+    assert_eq!(
+        (remainder.head.status, remainder.head.get("upload-offset")),
+        (204, Some(text.len().to_string().as_str()))
+    );
+    let made = create(&mut client, id, "1h", "").await.json();
+    let batch = wait_for_end(&mut client, made["id"].as_str().unwrap()).await;
+    assert_eq!(
+        batch["request_counts"],
+        json!({"total": 40, "completed": 40, "failed": 0})
+    );
+}
+
+/// Sends the first 1,234 bytes of an upload; then the connection breaks.
+async fn send_part_and_break(mut client: Client, path: &str, text: &str) {
+    let head = format!(
+        "PATCH {path} HTTP/1.1\r\nUpload-Offset: 0\r\nContent-Length: {}\r\n\r\n",
+        text.len()
+    );
+    client.send(head.as_bytes()).await;
+    client.send(&text.as_bytes()[..1234]).await;
+    client.stream.set_nodelay(true).unwrap();
+    sleep(Duration::from_millis(100)).await;
+}
+
+/// Waits until an upload has come to an offset; a part elsewhere is rejected. The latest offset.
+async fn wait_for_offset(client: &mut Client, path: &str, expected: usize) -> usize {
+    let start = Instant::now();
+    loop {
+        let got = get(client, path).await;
+        let offset: usize = got.head.get("upload-offset").unwrap().parse().unwrap();
+        let misplaced = append(client, path, offset + 1, "").await;
+        assert_eq!(misplaced.head.status, 409);
+        if offset == expected || start.elapsed() > Duration::from_secs(10) {
+            return offset;
+        }
+        sleep(Duration::from_millis(20)).await;
+    }
+}
+
+async fn append(client: &mut Client, path: &str, offset: usize, text: &str) -> Got {
+    let headers = format!("Upload-Offset: {offset}\r\n");
+    request(client, "PATCH", path, &headers, text).await
+}
+
+/// The measures against clients that send nothing must not fail an upload that goes on, however
+/// slowly.
+#[tokio::test]
+async fn slow_upload_survives_silent_clients() {
+    let folder = Folder::new();
+    let mut config = config(&[], None);
+    config.max_descriptors = 48; // four for clients
+    let router = start_router(config, &folder).await;
+    let text = lines(40);
+    let mut client = Client::new(&router.batch).await;
+    let length = format!("Upload-Length: {}\r\n", text.len());
+    let made = request(&mut client, "POST", CREATE, &length, "").await;
+    let path = made.head.get("location").unwrap().to_string();
+    let head = format!(
+        "PATCH {path} HTTP/1.1\r\nUpload-Offset: 0\r\nContent-Length: {}\r\n\r\n",
+        text.len()
+    );
+    client.send(head.as_bytes()).await;
+    let mut silent = Vec::new();
+    for part in text.as_bytes().chunks(text.len().div_ceil(10)) {
+        client.send(part).await;
+        sleep(Duration::from_millis(50)).await;
+        for _ in 0..3 {
+            silent.push(Client::new(&router.batch).await);
+        }
+    }
+    assert_eq!(client.answer().await.unwrap().head.status, 204);
+}
--- a/tests/batch_faults.rs
+++ b/tests/batch_faults.rs
@@ -1,5 +1,5 @@
-//! The batch front while the program's system calls fail: every line of a batch comes to one
-//! outcome, and live chats beside it get complete answers.
+//! The batch service while the program's system calls fail: every line of a batch has one outcome,
+//! and interactive chats beside it get complete answers.
 
 mod common;
 
@@ -19,11 +19,11 @@
 
 const LINES: usize = 200;
 const CHATS: usize = 60;
-/// Lines whose attempts may be too slow on a busy machine; their outcome says so.
+/// Lines whose attempts may time out on a busy machine; their outcomes say so.
 const MAX_TIMED_OUT: usize = LINES / 20;
 const SEED: u64 = 147;
 /// Far more than the batch needs, on a busy machine too.
-const LONG: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 const ENDPOINT: &str = "/v1/chat/completions";
 
 fn rules() -> Vec<Rule> {
@@ -67,9 +67,9 @@
     }
 }
 
-/// The program with its batch front; gives the front's address. What it logs is read on, so that it
-/// never waits for its log.
-fn start(folder: &Folder, injection: &Injection) -> (Running, String) {
+/// Starts the program with the batch service; returns the service's address too. Its log is read to
+/// the end, so that the program never waits for it.
+fn start_program(folder: &Folder, injection: &Injection) -> (Running, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_stilespan"))
         .args(["serve", "--batch"])
         .arg(folder.path("batch.toml"))
@@ -94,7 +94,7 @@
     (child, address)
 }
 
-async fn call(client: &mut Client, method: &str, path: &str, headers: &str, body: &str) -> Got {
+async fn request(client: &mut Client, method: &str, path: &str, headers: &str, body: &str) -> Got {
     let text = format!(
         "{method} {path} HTTP/1.1\r\nAuthorization: Bearer {}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         key(),
@@ -103,16 +103,16 @@
     client.call(text.as_bytes()).await
 }
 
-fn chat(text: &str) -> Value {
+fn chat_body(text: &str) -> Value {
     json!({"model": "hint", "max_tokens": 5, "messages": [{"role": "user", "content": text}]})
 }
 
-/// Uploads the lines, as often as a full spool asks for it; the file's id.
+/// Uploads the lines, again while the spool is full; the file's id.
 async fn upload(client: &mut Client) -> String {
     let lines: String = (0..LINES)
         .map(|number| {
             let line = json!({"custom_id": format!("pupil-{number}"), "method": "POST",
-                "url": ENDPOINT, "body": chat(&format!("line {number}"))});
+                "url": ENDPOINT, "body": chat_body(&format!("line {number}"))});
             format!("{line}\n")
         })
         .collect();
@@ -122,7 +122,7 @@
     );
     let headers = "Content-Type: multipart/form-data; boundary=XX\r\n";
     loop {
-        let got = call(client, "POST", "/v1/files", headers, &form).await;
+        let got = request(client, "POST", "/v1/files", headers, &form).await;
         if got.head.status == 200 {
             return got.json()["id"].as_str().unwrap().to_string();
         }
@@ -135,12 +135,20 @@
 async fn run_batch(address: &str) -> Vec<Value> {
     let mut client = Client::new(address).await;
     let input = upload(&mut client).await;
-    let order = json!({"input_file_id": input, "endpoint": ENDPOINT, "completion_window": "24h"});
-    let created = call(&mut client, "POST", "/v1/batches", "", &order.to_string()).await;
+    let new_batch =
+        json!({"input_file_id": input, "endpoint": ENDPOINT, "completion_window": "24h"});
+    let created = request(
+        &mut client,
+        "POST",
+        "/v1/batches",
+        "",
+        &new_batch.to_string(),
+    )
+    .await;
     assert_eq!(created.head.status, 200, "{created:?}");
     let path = format!("/v1/batches/{}", created.json()["id"].as_str().unwrap());
     let batch = loop {
-        let batch = call(&mut client, "GET", &path, "", "").await.json();
+        let batch = request(&mut client, "GET", &path, "", "").await.json();
         if batch["status"] == "completed" {
             break batch;
         }
@@ -150,7 +158,7 @@
     };
     let output = batch["output_file_id"].as_str().expect("a result");
     let content = format!("/v1/files/{output}/content");
-    let got = call(&mut client, "GET", &content, "", "").await;
+    let got = request(&mut client, "GET", &content, "", "").await;
     assert!(got.whole, "{got:?}");
     got.body
         .lines()
@@ -158,12 +166,13 @@
         .collect()
 }
 
-/// Asks until the chat is answered. A rejection is complete, too, and says that a retry is harmless.
+/// Repeats a chat request until it is answered. Rejections are complete too, and say that a retry is
+/// harmless.
 async fn chat_until_answered(address: &str, number: usize) {
-    let body = chat(&format!("chat {number}")).to_string();
+    let body = chat_body(&format!("chat {number}")).to_string();
     loop {
         let mut client = Client::new(address).await;
-        let got = call(&mut client, "POST", ENDPOINT, "", &body).await;
+        let got = request(&mut client, "POST", ENDPOINT, "", &body).await;
         assert!(got.whole, "{number}: {got:?}");
         match got.head.status {
             200 => return,
@@ -190,12 +199,12 @@
     write_settings(&folder, &server);
     let injection = Injection::new(&folder.path("state"), SEED, &rules()).unwrap();
     injection.arm(false).unwrap();
-    let (_program, address) = start(&folder, &injection);
-    // the server is in service, and asked for its models, before anything fails
+    let (_program, address) = start_program(&folder, &injection);
+    // the server is in service, and has listed its models, before anything fails
     sleep(Duration::from_millis(500)).await;
     injection.arm(true).unwrap();
-    let both = futures_util::future::join(run_batch(&address), run_chats(&address));
-    let (outcomes, ()) = timeout(LONG, both).await.expect("an end");
+    let load = futures_util::future::join(run_batch(&address), run_chats(&address));
+    let (outcomes, ()) = timeout(TIMEOUT, load).await.expect("an end");
     let unanswered = |outcome: &&Value| outcome["response"]["status_code"] != 200;
     let failed: Vec<_> = outcomes.iter().filter(unanswered).collect();
     let timed_out = |outcome: &&Value| outcome["error"]["code"] == "attempts_failed";
