--- a/src/api.rs
+++ b/src/api.rs
@@ -1,27 +1,27 @@
-//! What our own API's answers look like on any wire: error objects in the public OpenAI form,
-//! replies, reasons.
+//! Replies and errors of the router's own API, in the public OpenAI form. Independent of how they
+//! are sent.
 
 use std::time::Duration;
 
 use serde_json::{Value, json};
 
-/// An error of the API, in its public form.
+/// An error of the API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ApiError {
     /// The HTTP status.
     pub status: u16,
-    /// What of the request is wrong.
+    /// The parameter or header of the request that is invalid.
     pub param: Option<&'static str>,
-    /// For programs.
+    /// The kind of error, for programs.
     pub code: Option<&'static str>,
-    /// For people.
+    /// The text, for people.
     pub message: String,
-    /// Headers that go with it.
+    /// Headers of the reply.
     pub headers: Vec<(&'static str, String)>,
 }
 
 impl ApiError {
-    /// An error without a code.
+    /// An error without a code or headers.
     pub fn new(
         status: u16,
         param: impl Into<Option<&'static str>>,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The same with a code.
+    /// Sets the code.
     pub fn code(self, code: &'static str) -> ApiError {
         ApiError {
             code: Some(code),
@@ -44,14 +44,14 @@
         }
     }
 
-    /// The same with a header.
+    /// Adds a header.
     pub fn with(mut self, name: &'static str, value: impl Into<String>) -> ApiError {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// The same with the time to come back, where there is one; whole seconds, rounded up, as every
-    /// client reads them (RFC 9110, section 10.2.3).
+    /// Adds a Retry-After, if there is one: in whole seconds, rounded up, as RFC 9110 (section
+    /// 10.2.3) has it.
     pub fn retry_in(self, wait: Option<Duration>) -> ApiError {
         match wait {
             Some(wait) => self.with(
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The object of the body.
+    /// The object in the reply's body.
     pub fn object(&self) -> Value {
         let kind = match self.status {
             401 => "authentication_error",
@@ -77,19 +77,19 @@
     }
 }
 
-/// An answer of the API.
+/// A reply of the API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     /// The HTTP status.
     pub status: u16,
-    /// Headers beside the body's own.
+    /// Headers other than those that describe the body.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// The JSON body, if there is one.
     pub body: Option<Value>,
 }
 
 impl Reply {
-    /// A good answer.
+    /// A reply of status 200.
     pub fn json(body: Value) -> Reply {
         Reply {
             status: 200,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// One without a body.
+    /// A reply without a body.
     pub fn empty(status: u16, headers: Vec<(&'static str, String)>) -> Reply {
         Reply {
             status,
@@ -118,8 +118,8 @@
     }
 }
 
-/// A status's reason.
-pub fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status.
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/src/batch/http_api/chat_answer.rs
+++ b/src/batch/http_api/chat_answer.rs
@@ -73,7 +73,7 @@
         let completion = if is_complete {
             completion(builder, &answer)
         } else {
-            Err(broken_answer("the answer broke off; it may have run"))
+            Err(answer_error("the answer broke off; it may have run"))
         };
         let reply = match completion {
             Ok(completion) => Reply {
@@ -104,13 +104,13 @@
     };
     let mut completion = builder
         .finish(defaults)
-        .map_err(|e| broken_answer(&e.to_string()))?;
+        .map_err(|e| answer_error(&e.to_string()))?;
     if let Some(reason) = answer.cut() {
         completion["stilespan"] = reason.clone();
     }
     Ok(completion)
 }
 
-fn broken_answer(message: &str) -> ApiError {
+fn answer_error(message: &str) -> ApiError {
     ApiError::new(502, None, message).code("answer_broken")
 }
--- a/src/batch/http_api/context.rs
+++ b/src/batch/http_api/context.rs
@@ -10,7 +10,7 @@
 use crate::batch::jobs::BatchJobs;
 use crate::batch::store::Store;
 
-/// Memory for request bodies, in KiB; it holds eight of the largest.
+/// Memory for request bodies, in KiB: eight of the largest.
 const BODY_MEMORY_KIB: usize = 2 << 10;
 
 /// What all connections share.
--- a/src/batch/http_api/reply.rs
+++ b/src/batch/http_api/reply.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use crate::api::{Reply, reason};
+use crate::api::{Reply, reason_phrase};
 
 /// The status of replies without content, which have no body.
 const NO_CONTENT: u16 = 204;
@@ -32,5 +32,5 @@
 
 /// The first line of a message, with its line break.
 pub(super) fn status_line(status: u16) -> String {
-    format!("HTTP/1.1 {status} {}\r\n", reason(status))
+    format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status))
 }
--- a/src/batch/jobs.rs
+++ b/src/batch/jobs.rs
@@ -9,6 +9,7 @@
 mod line_worker;
 mod lines;
 mod new_batch;
+mod pending_line;
 mod result_file;
 mod retry;
 mod stop;
--- a/src/batch/jobs/batch.rs
+++ b/src/batch/jobs/batch.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether the status is final.
-    pub fn is_ended(self) -> bool {
+    pub fn is_final(self) -> bool {
         matches!(
             self,
             BatchStatus::Failed
@@ -207,7 +207,7 @@
 
     /// Tells the worker to run no further lines.
     pub(super) fn cancel(&mut self) -> Result<(), JobError> {
-        if self.status.is_ended() {
+        if self.status.is_final() {
             return Err(JobError::Ended);
         }
         if self.status != BatchStatus::Cancelling {
--- a/src/batch/jobs/table.rs
+++ b/src/batch/jobs/table.rs
@@ -26,8 +26,8 @@
     pub(super) fn insert(&self, batch: Batch, max_batches: usize) -> Result<(), JobError> {
         let mut batches = self.lock();
         if batches.len() >= max_batches {
-            let ended = batches.values().filter(|batch| batch.status.is_ended());
-            let oldest = ended.min_by_key(|batch| batch.number);
+            let removable = batches.values().filter(|batch| batch.status.is_final());
+            let oldest = removable.min_by_key(|batch| batch.number);
             let oldest = oldest.ok_or(JobError::Full)?.id.clone();
             batches.remove(&oldest);
         }
@@ -68,6 +68,6 @@
 
     /// Whether any batch has not ended.
     pub(super) fn any_in_progress(&self) -> bool {
-        self.lock().values().any(|batch| !batch.status.is_ended())
+        self.lock().values().any(|batch| !batch.status.is_final())
     }
 }
--- a/src/batch/jobs/tests.rs
+++ b/src/batch/jobs/tests.rs
@@ -100,7 +100,7 @@
             .to_string()
     }
 
-    async fn ended(&self, id: &str) -> Value {
+    async fn wait_for_end(&self, id: &str) -> Value {
         tokio::time::timeout(TIMEOUT, self.jobs.settle())
             .await
             .expect("an end");
@@ -146,7 +146,7 @@
         full,
         full,
     ]);
-    let batch = fixture.ended(&id).await;
+    let batch = fixture.wait_for_end(&id).await;
     assert_eq!(batch["status"], "completed", "{batch}");
     assert_eq!(fixture.disk.faults_left(), 0);
     let outcomes = fixture.outcomes(&batch).await;
@@ -182,7 +182,7 @@
         "in_progress"
     );
     fixture.store().remove(&filler).await.unwrap();
-    let batch = fixture.ended(&id).await;
+    let batch = fixture.wait_for_end(&id).await;
     assert_eq!(batch["status"], "completed", "{batch}");
     assert_eq!(fixture.outcomes(&batch).await.len(), LINES);
 }
@@ -198,7 +198,7 @@
         } else {
             fixture.shut_down.send_replace(true);
         }
-        let batch = fixture.ended(&id).await;
+        let batch = fixture.wait_for_end(&id).await;
         assert_eq!(batch["status"], "failed", "{batch}");
         assert_eq!(batch["errors"]["data"][0]["code"], "spool_error", "{batch}");
     }
@@ -217,7 +217,7 @@
     appender.write(b"garbage\ngarbage\n").await.unwrap_err();
     appender.finish().unwrap();
     let id = fixture.start_with(info.id).await;
-    let batch = fixture.ended(&id).await;
+    let batch = fixture.wait_for_end(&id).await;
     assert_eq!(batch["request_counts"]["total"], 1, "{batch}");
 }
 
--- a/src/batch/jobs/worker.rs
+++ b/src/batch/jobs/worker.rs
@@ -1,19 +1,17 @@
 //! The worker of a batch: reads its lines, runs them and writes their outcomes.
 
-use std::collections::HashSet;
-use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
 
-use serde_json::Value;
 use tokio::fs::File;
 use tokio::io::{AsyncReadExt, AsyncSeekExt, Take};
-use tokio::task::{JoinError, JoinSet};
+use tokio::task::JoinSet;
 use tracing::{info, warn};
 
 use super::batch::{Batch, BatchFailure, BatchStatus};
 use super::context::JobContext;
 use super::line_worker::LineWorker;
 use super::lines::{Line, LineReader};
+use super::pending_line::{PendingLine, SeenIds, outcome_of};
 use super::result_file::ResultFile;
 use super::retry::{RetryState, SpoolRetrier};
 use super::stop::StopReason;
@@ -23,6 +21,13 @@
 use crate::batch::store::StoreError;
 use crate::edge::Caller;
 
+/// Whether another line may be in flight.
+enum Admission {
+    Admitted(Permit),
+    /// No further line is to be run.
+    Stopped(StopReason),
+}
+
 /// The worker of a batch.
 pub(super) struct BatchWorker {
     pub(super) context: Arc<JobContext>,
@@ -36,39 +41,6 @@
     pub(super) retrier: SpoolRetrier,
 }
 
-/// The `custom_id`s of a batch's lines so far. Only hashes are held, so that a file of many lines
-/// takes little memory.
-#[derive(Default)]
-struct SeenIds {
-    hasher: RandomState,
-    hashes: HashSet<u64>,
-}
-
-impl SeenIds {
-    /// Adds an id; returns whether it is new.
-    fn insert(&mut self, custom_id: &str) -> bool {
-        self.hashes.insert(self.hasher.hash_one(custom_id))
-    }
-}
-
-/// A line that has been read, and has no outcome yet.
-struct PendingLine {
-    number: u64,
-    custom_id: Option<String>,
-    trace_id: String,
-}
-
-impl PendingLine {
-    fn into_outcome(self, result: Result<Value, LineError>) -> LineOutcome {
-        LineOutcome {
-            number: self.number,
-            custom_id: self.custom_id,
-            trace_id: self.trace_id,
-            result,
-        }
-    }
-}
-
 impl BatchWorker {
     /// Runs the batch to its end.
     pub(super) async fn run(self, input: Take<File>) {
@@ -164,15 +136,15 @@
                     continue;
                 }
             };
-            let permit = match stopped {
-                Some(reason) => Err(reason),
-                None => self.acquire_permit(&mut in_flight, result).await?,
+            let admission = match stopped {
+                Some(reason) => Admission::Stopped(reason),
+                None => self.wait_for_admission(&mut in_flight, result).await?,
             };
-            match permit {
-                Ok(permit) => {
+            match admission {
+                Admission::Admitted(permit) => {
                     in_flight.spawn(self.start_line(request, pending, permit));
                 }
-                Err(reason) => {
+                Admission::Stopped(reason) => {
                     stopped = Some(reason);
                     let outcome = pending.into_outcome(Err(reason.into()));
                     self.record(result, outcome).await?;
@@ -209,19 +181,21 @@
 
     /// Waits until another line may be in flight, or the batch is to stop. Records the outcomes
     /// that come in meanwhile, so that no more outcomes wait than lines may be in flight.
-    async fn acquire_permit(
+    async fn wait_for_admission(
         &self,
         in_flight: &mut JoinSet<LineOutcome>,
         result: &mut ResultFile,
-    ) -> Result<Result<Permit, StopReason>, StoreError> {
+    ) -> Result<Admission, StoreError> {
         loop {
             tokio::select! {
                 biased;
-                reason = self.retrier.stop.stopped() => return Ok(Err(reason)),
+                reason = self.retrier.stop.stopped() => return Ok(Admission::Stopped(reason)),
                 Some(ended) = in_flight.join_next() => {
                     self.record(result, outcome_of(ended)).await?;
                 }
-                permit = self.context.concurrency.acquire() => return Ok(Ok(permit)),
+                permit = self.context.concurrency.acquire() => {
+                    return Ok(Admission::Admitted(permit));
+                }
             }
         }
     }
@@ -257,13 +231,3 @@
         Ok(())
     }
 }
-
-/// The outcome of a task. A task that panicked has lost the number and the ids of its line.
-fn outcome_of(ended: Result<LineOutcome, JoinError>) -> LineOutcome {
-    ended.unwrap_or_else(|e| LineOutcome {
-        number: 0,
-        custom_id: None,
-        trace_id: String::new(),
-        result: Err(LineError::Internal(e.to_string())),
-    })
-}
--- a/src/batch/store.rs
+++ b/src/batch/store.rs
@@ -15,7 +15,6 @@
 use tokio::fs::File;
 use tokio::task::spawn_blocking;
 
-use crate::edge::Caller;
 use crate::storage::file_system::retry_on_interrupt;
 use crate::storage::{Disk, FileSystem, OpenFile};
 
@@ -23,7 +22,7 @@
 
 pub use appender::Appender;
 pub use error::StoreError;
-pub use file_info::FileInfo;
+pub use file_info::{FileInfo, NewFile, StoredFile};
 
 /// The extension of the files in the spool.
 const FILE_EXTENSION: &str = "spool";
@@ -49,28 +48,6 @@
     pub files: usize,
 }
 
-/// A file to be created.
-#[derive(Clone, Copy, Debug)]
-pub struct NewFile<'a> {
-    /// The client's name for it.
-    pub name: &'a str,
-    /// Its purpose in the API's object.
-    pub purpose: &'a str,
-    /// The length of an upload that announced it.
-    pub total_bytes: Option<u64>,
-    /// Who creates it.
-    pub owner: &'a Caller,
-}
-
-/// A file that is open for reading.
-#[derive(Debug)]
-pub struct StoredFile {
-    /// The file in the spool. What a failed write left may lie behind its content.
-    pub file: File,
-    /// Its description; its size is the length of the content.
-    pub info: FileInfo,
-}
-
 #[derive(Default)]
 struct State {
     files: BTreeMap<String, FileInfo>,
--- a/src/batch/store/file_info.rs
+++ b/src/batch/store/file_info.rs
@@ -1,9 +1,32 @@
-//! The description of a stored file.
+//! Files as they are created, described and read.
 
 use serde_json::{Value, json};
+use tokio::fs::File;
 
 use crate::edge::Caller;
 
+/// A file to be created.
+#[derive(Clone, Copy, Debug)]
+pub struct NewFile<'a> {
+    /// The client's name for it.
+    pub name: &'a str,
+    /// Its purpose in the API's object.
+    pub purpose: &'a str,
+    /// The length of an upload that announced it.
+    pub total_bytes: Option<u64>,
+    /// Who creates it.
+    pub owner: &'a Caller,
+}
+
+/// A file that is open for reading.
+#[derive(Debug)]
+pub struct StoredFile {
+    /// The file in the spool. What a failed write left may lie behind its content.
+    pub file: File,
+    /// Its description; its size is the length of the content.
+    pub info: FileInfo,
+}
+
 /// The description of a stored file.
 #[derive(Clone, Debug)]
 pub struct FileInfo {
--- a/src/batch/store/tests.rs
+++ b/src/batch/store/tests.rs
@@ -5,6 +5,7 @@
 use tokio::io::AsyncReadExt;
 
 use super::*;
+use crate::edge::Caller;
 use crate::storage::failing_disk::FailingDisk;
 use crate::storage::simulated_disk::Fault;
 
