--- a/src/batch/http_api/chat.rs
+++ b/src/batch/http_api/chat.rs
@@ -9,6 +9,7 @@
 use crate::batch::edge_access::EdgeAccess;
 use crate::edge::chat::Chat;
 use crate::edge::service::Work;
+use crate::interface::stable_hash;
 use crate::net::http::{Body, Head, HttpError};
 use crate::request_ids::is_request_id;
 
@@ -31,7 +32,7 @@
             trace.ok_or_else(|| ApiError::new(409, "X-Trace-Id", "X-Trace-Id is in use"))?;
         let timeout = client_timeout(head)?;
         if let Some(session) = head.get("x-object") {
-            chat.session = Some(crate::wire::replica_id(session).0);
+            chat.session = Some(stable_hash(session));
         }
         let is_streamed = chat.stream;
         let work = Work {
