--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -75,7 +75,7 @@
     let copied = MaintenanceState::parse(&std::fs::read(&copy).unwrap()).unwrap();
     folder.close().unwrap();
     for state in [stored, copied, lifecycle.maintenance_state().await] {
-        let excluded_at = state.exclusions[0].excluded_at;
+        let excluded_at = state.exclusions[0].excluded_at.as_micros();
         assert!(
             (before - 1_000..=after).contains(&excluded_at),
             "{excluded_at} is not within {before} and {after}"
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -80,7 +80,7 @@
             zone: zone_number(&self.locality, localities),
             cell: self.cell,
             state: self.state(),
-            started_at: Timestamp::from_micros(self.up_since_ms.saturating_mul(1000)),
+            started_at: Timestamp::from_millis(self.up_since_ms),
             weight: self.size,
             machine_kind: stable_hash(&self.flavor) as u32,
             ..Default::default()
--- a/src/net/handover/maintenance_file/tests.rs
+++ b/src/net/handover/maintenance_file/tests.rs
@@ -2,6 +2,7 @@
 use rustix::io::Errno;
 
 use super::*;
+use crate::interface::Timestamp;
 use crate::ops::exclusions::Exclusion;
 use crate::storage::simulated_disk::{Fault, Loss, SimulatedDisk};
 
@@ -13,7 +14,7 @@
     MaintenanceState {
         exclusions: vec![Exclusion {
             name: name.into(),
-            excluded_at: 5,
+            excluded_at: Timestamp::from_micros(5),
             restored_at: None,
         }],
         is_drained: true,
--- a/src/ops/exclusions.rs
+++ b/src/ops/exclusions.rs
@@ -2,6 +2,8 @@
 //! excluded server as draining and knows of no exclusion; whatever the list says meanwhile, the
 //! overlay is applied to it. Stored state is [`super::maintenance_state`]'s.
 
+mod stored;
+
 use std::collections::BTreeMap;
 
 use rustc_hash::FxHashMap;
@@ -9,6 +11,7 @@
 
 use crate::interface::{EndpointListKind, EndpointState, ReplicaEntry, ReplicaId, Span, Timestamp};
 use crate::lru::LruMap;
+use stored::StoredExclusion;
 
 /// How long a restored server counts as started at its restoration, where the list reports no start
 /// since the exclusion: 10 minutes. Longer than any configured slow start, so that no server is
@@ -19,26 +22,21 @@
 /// those of the process's clock; outside, in a file or a message, those of the wall clock as it read
 /// when they were written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(from = "StoredExclusion", into = "StoredExclusion")]
 pub struct Exclusion {
     /// The model server's name.
     pub name: String,
-    /// When it was excluded, in microseconds of Unix time.
-    #[serde(rename = "since")]
-    pub excluded_at: u64,
-    /// When it was restored, in microseconds of Unix time; `None` while it is excluded.
-    #[serde(rename = "back", default, skip_serializing_if = "Option::is_none")]
-    pub restored_at: Option<u64>,
+    /// When it was excluded.
+    pub excluded_at: Timestamp,
+    /// When it was restored; `None` while it is excluded.
+    pub restored_at: Option<Timestamp>,
 }
 
 impl Exclusion {
     /// The same exclusion with its times on another clock. `from` and `to`: what the two clocks
     /// read now. Ages stay; a time ahead of its clock, which was stepped since, becomes now.
     pub(super) fn on_clock(self, from: Timestamp, to: Timestamp) -> Exclusion {
-        let converted = |time: u64| {
-            to.as_micros()
-                .saturating_sub((from - Timestamp::from_micros(time)).as_micros())
-        };
+        let converted = |time: Timestamp| to - (from - time);
         Exclusion {
             excluded_at: converted(self.excluded_at),
             restored_at: self.restored_at.map(converted),
@@ -49,7 +47,7 @@
     /// Whether the exclusion still changes what the policy sees.
     fn is_in_effect(&self, now: Timestamp) -> bool {
         self.restored_at
-            .is_none_or(|restored| now - Timestamp::from_micros(restored) < RESTORATION_MEMORY)
+            .is_none_or(|restored| now - restored < RESTORATION_MEMORY)
     }
 }
 
@@ -107,8 +105,8 @@
             }
             // it may have been restarted during the maintenance without the list reporting it yet:
             // it goes through slow start
-            Some(restored) if entry.started_at < Timestamp::from_micros(exclusion.excluded_at) => {
-                entry.started_at = Timestamp::from_micros(restored);
+            Some(restored) if entry.started_at < exclusion.excluded_at => {
+                entry.started_at = restored;
             }
             _ => {}
         }
@@ -135,11 +133,11 @@
     ) -> Option<ReplicaEntry> {
         let exclusion = self.exclusions.entry(replica).or_insert_with(|| Exclusion {
             name: name.to_string(),
-            excluded_at: now.as_micros(),
+            excluded_at: now,
             restored_at: None,
         });
         if exclusion.restored_at.take().is_some() {
-            exclusion.excluded_at = now.as_micros();
+            exclusion.excluded_at = now;
         }
         self.effective_entry(replica)
     }
@@ -150,8 +148,8 @@
         let start_is_listed = self
             .listed
             .get(&replica)
-            .is_some_and(|entry| entry.started_at >= Timestamp::from_micros(exclusion.excluded_at));
-        exclusion.restored_at.get_or_insert(now.as_micros());
+            .is_some_and(|entry| entry.started_at >= exclusion.excluded_at);
+        exclusion.restored_at.get_or_insert(now);
         if start_is_listed {
             self.exclusions.remove(&replica);
         }
--- a/src/ops/maintenance_state/tests.rs
+++ b/src/ops/maintenance_state/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::interface::{EndpointListKind, EndpointState, ReplicaEntry, ReplicaId};
+use crate::interface::{EndpointListKind, EndpointState, ReplicaEntry, ReplicaId, Span};
 use crate::ops::exclusions::Exclusions;
 
 const SECOND: u64 = 1_000_000;
@@ -16,13 +16,13 @@
 fn only_complete_text_is_parsed() {
     let exclusion = Exclusion {
         name: "s \"1\"\n".into(),
-        excluded_at: 5,
+        excluded_at: Timestamp::from_micros(5),
         restored_at: None,
     };
     let state = MaintenanceState {
         exclusions: vec![
             Exclusion {
-                restored_at: Some(7),
+                restored_at: Some(Timestamp::from_micros(7)),
                 ..exclusion.clone()
             },
             exclusion,
@@ -44,10 +44,10 @@
 /// For how many seconds after the reading a server counts as just started that was restored so many
 /// seconds before the writing.
 fn slow_start_seconds(seconds_before: u64, wall_at_reading: u64) -> u64 {
-    let restored_at = WRITTEN.0.as_micros() - seconds_before * SECOND;
+    let restored_at = WRITTEN.0 - Span::from_micros(seconds_before * SECOND);
     let exclusion = Exclusion {
         name: "s".into(),
-        excluded_at: restored_at - 30 * SECOND,
+        excluded_at: restored_at - Span::from_micros(30 * SECOND),
         restored_at: Some(restored_at),
     };
     let state = MaintenanceState {
@@ -96,11 +96,14 @@
 fn stored_text_is_fixed() {
     let exclusion = |name: &str, restored_at| Exclusion {
         name: name.into(),
-        excluded_at: 5,
+        excluded_at: Timestamp::from_micros(5),
         restored_at,
     };
     let state = MaintenanceState {
-        exclusions: vec![exclusion("s-1", None), exclusion("s \"2\"", Some(7))],
+        exclusions: vec![
+            exclusion("s-1", None),
+            exclusion("s \"2\"", Some(Timestamp::from_micros(7))),
+        ],
         is_drained: true,
     };
     let file = r#"{"orders":{"bans":[{"name":"s-1","since":5},{"back":7,"name":"s \"2\"","since":5}],"drained":true},"version":1}"#;
