--- a/src/net/listener/heartbeat/tests.rs
+++ b/src/net/listener/heartbeat/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn bytes_after_stall_date_from_its_start() {
+fn bytes_after_stall_date_from_start() {
     let start = Instant::now();
     let heartbeat = Heartbeat::new(start);
     let resumed = start + 700 * MILLISECOND;
--- a/src/net/listener/tests.rs
+++ b/src/net/listener/tests.rs
@@ -69,7 +69,7 @@
 
 /// Connections that came since the runtime last waited for events are accepted all the same.
 #[tokio::test]
-async fn accept_queue_is_read_without_runtime_events() {
+async fn accept_queue_read_without_runtime_events() {
     let listener = FailingListener::new([]).await;
     let _clients = listener.connect(3);
     // the runtime has not waited since: it does not know of them
