--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -97,13 +97,13 @@
 impl EndpointList {
     /// The list as the core takes it, with zones numbered by their position in `localities`.
     pub fn resolved(self, kind: EndpointListKind, localities: &[String]) -> EndpointsUpdate {
-        let hosts = self
+        let endpoints = self
             .endpoints
             .into_iter()
             .map(|record| record.into_endpoint(localities));
         EndpointsUpdate {
             kind,
-            endpoints: without_duplicates(hosts),
+            endpoints: without_duplicates(endpoints),
         }
     }
 
@@ -113,25 +113,25 @@
     }
 }
 
-/// The hosts in their order, one of each name. Of duplicates the state closest to termination is
-/// in force: nothing may be sent to a server that the same list calls draining or deleted.
-fn without_duplicates(hosts: impl ExactSizeIterator<Item = Endpoint>) -> Vec<Endpoint> {
-    let mut unique: Vec<Endpoint> = Vec::with_capacity(hosts.len());
+/// The endpoints in their order, one of each name. Of duplicates the state closest to termination
+/// is in force: nothing may be sent to a server that the same list calls draining or deleted.
+fn without_duplicates(endpoints: impl ExactSizeIterator<Item = Endpoint>) -> Vec<Endpoint> {
+    let mut unique: Vec<Endpoint> = Vec::with_capacity(endpoints.len());
     let mut positions: FxHashMap<ReplicaId, usize> = FxHashMap::default();
-    for host in hosts {
-        match positions.entry(host.entry.replica) {
+    for endpoint in endpoints {
+        match positions.entry(endpoint.entry.replica) {
             MapEntry::Vacant(position) => {
                 position.insert(unique.len());
-                unique.push(host);
+                unique.push(endpoint);
             }
             MapEntry::Occupied(position) => {
                 warn!(
                     "{} is listed twice; the state closest to termination is used",
-                    host.name
+                    endpoint.name
                 );
                 let first = &mut unique[*position.get()];
-                if host.entry.state > first.entry.state {
-                    *first = host;
+                if endpoint.entry.state > first.entry.state {
+                    *first = endpoint;
                 }
             }
         }
--- a/src/net/downstream/forwarding.rs
+++ b/src/net/downstream/forwarding.rs
@@ -116,7 +116,7 @@
                     id_guard.release();
                 }
                 let reply = Reply {
-                    retry_in: retry_after,
+                    retry_after,
                     ..Reply::unavailable("refused; trying again is harmless")
                 };
                 self.reply(&reply, close).await
--- a/src/net/downstream/reply.rs
+++ b/src/net/downstream/reply.rs
@@ -16,7 +16,7 @@
     pub(super) status: u16,
     pub(super) reason: &'static str,
     /// The `Retry-After`, if it has one.
-    pub(super) retry_in: Option<Duration>,
+    pub(super) retry_after: Option<Duration>,
     pub(super) text: Cow<'static, str>,
 }
 
@@ -29,7 +29,7 @@
         Reply {
             status,
             reason,
-            retry_in: None,
+            retry_after: None,
             text: text.into(),
         }
     }
@@ -54,8 +54,8 @@
             "HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\n",
             self.status, self.reason
         );
-        if let Some(wait) = self.retry_in {
-            message.push_str(&format!("Retry-After: {:.3}\r\n", wait.as_secs_f64()));
+        if let Some(delay) = self.retry_after {
+            message.push_str(&format!("Retry-After: {:.3}\r\n", delay.as_secs_f64()));
         }
         if close {
             message.push_str("Connection: close\r\n");
--- a/src/net/handover/maintenance_file.rs
+++ b/src/net/handover/maintenance_file.rs
@@ -19,7 +19,7 @@
 /// The first wait before another attempt.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// The longest such wait.
-const LONGEST_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// A folder with an entry for each running process, named by its id.
 const PROCESS_FOLDER: &str = "/proc";
 
@@ -66,7 +66,7 @@
     path: &Path,
     file_system: &Arc<dyn FileSystem>,
 ) -> Result<Option<MaintenanceState>, LoadError> {
-    let mut backoff = Backoff::new(FIRST_RETRY_DELAY, LONGEST_RETRY_DELAY);
+    let mut backoff = Backoff::new(FIRST_RETRY_DELAY, MAX_RETRY_DELAY);
     let mut attempts = 1;
     loop {
         match read_once(path, file_system).await {
--- a/src/net/handover/predecessor_link.rs
+++ b/src/net/handover/predecessor_link.rs
@@ -20,7 +20,7 @@
 /// The first wait before another attempt to connect.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(2);
 /// The longest such wait, short beside the time for all attempts.
-const LONGEST_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A connection to the predecessor, and what it answered.
 pub struct PredecessorLink {
@@ -78,7 +78,7 @@
 
     async fn connect_within(&self, limit: Duration) -> Option<PredecessorLink> {
         let deadline = Instant::now() + limit;
-        let mut backoff = Backoff::new(FIRST_RETRY_DELAY, LONGEST_RETRY_DELAY);
+        let mut backoff = Backoff::new(FIRST_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
             let error = match self.connect_once(deadline).await {
                 Ok(link) => return Some(link),
--- a/src/net/handover/rendezvous.rs
+++ b/src/net/handover/rendezvous.rs
@@ -20,7 +20,7 @@
 /// The first wait before the socket is bound again.
 const FIRST_BIND_DELAY: Duration = Duration::from_millis(5);
 /// The longest such wait.
-const LONGEST_BIND_DELAY: Duration = Duration::from_secs(2);
+const MAX_BIND_DELAY: Duration = Duration::from_secs(2);
 /// The longest folder path for which a socket's path, with a file name of up to 40 bytes, stays
 /// within the 108 bytes that Linux allows.
 const MAX_FOLDER_PATH_BYTES: usize = 64;
@@ -70,7 +70,7 @@
     /// Binds the socket, retrying until that succeeds: processes that start from now on connect to
     /// this one.
     pub(super) async fn bind_socket(&self) -> UnixListener {
-        let mut backoff = Backoff::new(FIRST_BIND_DELAY, LONGEST_BIND_DELAY);
+        let mut backoff = Backoff::new(FIRST_BIND_DELAY, MAX_BIND_DELAY);
         let log = LogLimit::new();
         loop {
             let error = match self.try_bind() {
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -61,12 +61,12 @@
 }
 
 impl Connector for TcpConnector {
-    fn open(&self, replica: ReplicaId, host: &Endpoint) -> mpsc::Sender<UpstreamCommand> {
+    fn open(&self, replica: ReplicaId, endpoint: &Endpoint) -> mpsc::Sender<UpstreamCommand> {
         let (commands_to, commands) = mpsc::channel(MAILBOX_CAPACITY);
         if let Some(messages) = self.messages.get() {
             let upstream = Upstream {
                 replica,
-                address: host.address.clone(),
+                address: endpoint.address.clone(),
                 options: self.options.clone(),
                 connection_limit: self.connection_limit.clone(),
                 metrics: self.metrics.clone(),
@@ -75,7 +75,7 @@
             };
             debug!(
                 "upstream {} ({:x}) at {}",
-                host.name, replica.0, host.address
+                endpoint.name, replica.0, endpoint.address
             );
             tokio::spawn(Arc::new(upstream).run(commands));
         }
--- a/src/storage/background_writer.rs
+++ b/src/storage/background_writer.rs
@@ -20,7 +20,7 @@
 /// is time for several.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The longest delay: a disk that works again is noticed within this.
-const LONGEST_RETRY_DELAY: Duration = Duration::from_secs(2);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Numbers the submitted states in their order, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -144,7 +144,7 @@
 
     /// Writes the latest state, with retries until the file and its copy contain it.
     async fn write_with_retries(&mut self) {
-        let mut backoff = Backoff::new(FIRST_RETRY_DELAY, LONGEST_RETRY_DELAY);
+        let mut backoff = Backoff::new(FIRST_RETRY_DELAY, MAX_RETRY_DELAY);
         let mut has_failed = false;
         while let Err(failure) = self.write_latest().await {
             has_failed = true;
