--- a/crates/simulator_adapter/src/endpoint_sheets.rs
+++ b/crates/simulator_adapter/src/endpoint_sheets.rs
@@ -3,9 +3,10 @@
 use std::sync::Arc;
 
 use rustc_hash::FxHashMap;
+use stilespan::config::quote;
 use stilespan::interface::{EndpointState, ReplicaEntry, ReplicaId, Timestamp};
 
-use crate::error::{MessageError, quote};
+use crate::error::MessageError;
 use crate::field::Fields;
 
 /// Sheets have numbers below this.
--- a/crates/simulator_adapter/src/error.rs
+++ b/crates/simulator_adapter/src/error.rs
@@ -4,9 +4,6 @@
 
 use stilespan::config::SettingsError;
 
-/// The most characters of the input that a message quotes.
-const MAX_QUOTED_CHARS: usize = 40;
-
 /// Why the adapter stops before the end of its input.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {problem}")]
@@ -163,12 +160,3 @@
     #[error("is no load report")]
     NotLoadReport,
 }
-
-/// The start of a text from the input, for messages.
-pub(crate) fn quote(text: &str) -> String {
-    let mut quoted: String = text.chars().take(MAX_QUOTED_CHARS).collect();
-    if quoted.len() < text.len() {
-        quoted.push_str("...");
-    }
-    quoted
-}
--- a/crates/simulator_adapter/src/event.rs
+++ b/crates/simulator_adapter/src/event.rs
@@ -4,13 +4,14 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
+use stilespan::config::quote;
 use stilespan::interface::{
     Arrival, AttemptEnded, EndpointListKind, Event, HealthCheckEnded, LoadReport, LoadReportField,
     MAX_LOAD_REPORT_FIELDS, Outcome, ReplicaId, RequestId, Span, Timestamp,
 };
 
 use crate::endpoint_sheets::EndpointSheets;
-use crate::error::{FieldError, MessageError, ValueProblem, quote};
+use crate::error::{FieldError, MessageError, ValueProblem};
 use crate::field::{Fields, invalid};
 use crate::number::parse_number;
 
--- a/crates/simulator_adapter/src/field.rs
+++ b/crates/simulator_adapter/src/field.rs
@@ -1,6 +1,8 @@
 //! The fields of a message: `name=value`, separated by one space.
 
-use crate::error::{FieldError, ValueProblem, quote};
+use stilespan::config::quote;
+
+use crate::error::{FieldError, ValueProblem};
 use crate::number::{parse_micros, parse_number};
 
 /// The most fields of a message; the longest message of the wire has half of it.
--- a/crates/simulator_adapter/src/message.rs
+++ b/crates/simulator_adapter/src/message.rs
@@ -1,11 +1,11 @@
 //! Messages: what one line of the input says.
 
 use rustc_hash::FxHashMap;
-use stilespan::config::parse_settings;
+use stilespan::config::{parse_settings, quote};
 use stilespan::interface::{Event, LoadReportField, Settings, Timestamp};
 
 use crate::endpoint_sheets::{EndpointSheets, ReplicaNames};
-use crate::error::{LineError, MessageError, quote};
+use crate::error::{LineError, MessageError};
 use crate::event::parse_event;
 use crate::field::Fields;
 
--- a/crates/simulator_adapter/src/reply.rs
+++ b/crates/simulator_adapter/src/reply.rs
@@ -9,18 +9,18 @@
 
 /// Appends the line of one action of an instance.
 pub(crate) fn write_action(
-    out: &mut String,
+    reply: &mut String,
     names: &ReplicaNames,
     instance: usize,
     action: &Action,
 ) {
     // writing to a string can't fail
-    let _ = try_write_action(out, names, instance, action);
-    out.push('\n');
+    let _ = try_write_action(reply, names, instance, action);
+    reply.push('\n');
 }
 
 fn try_write_action(
-    out: &mut String,
+    reply: &mut String,
     names: &ReplicaNames,
     instance: usize,
     action: &Action,
@@ -33,40 +33,43 @@
         } => {
             let name = names.name(replica);
             write!(
-                out,
+                reply,
                 "DISPATCH i={instance} ref={} replica={name}",
                 request.0
             )?;
-            write_span(out, "give-up-after", timeout)
+            write_span(reply, "give-up-after", timeout)
         }
         Action::CancelAttempt { request, attempt } => {
             let request = request.0;
-            write!(out, "RETRACT i={instance} ref={request} trial={attempt}")
+            write!(reply, "RETRACT i={instance} ref={request} trial={attempt}")
         }
         Action::Reject {
             request,
             retry_after,
         } => {
-            write!(out, "REFUSE i={instance} ref={}", request.0)?;
-            write_span(out, "retry-in", retry_after)
+            write!(reply, "REFUSE i={instance} ref={}", request.0)?;
+            write_span(reply, "retry-in", retry_after)
         }
-        Action::Fail { request } => write!(out, "ABORT i={instance} ref={}", request.0),
+        Action::Fail { request } => write!(reply, "ABORT i={instance} ref={}", request.0),
         Action::CheckHealth { replica } => {
             let name = names.name(replica);
-            write!(out, "POLL i={instance} replica={name}")
+            write!(reply, "POLL i={instance} replica={name}")
         }
-        Action::WatchEndpoints => write!(out, "KEEP_INFORMED i={instance} on=1"),
+        Action::WatchEndpoints => write!(reply, "KEEP_INFORMED i={instance} on=1"),
         Action::SetTimer { at, timer_id } => {
             let due_at = Seconds(at.as_micros());
-            write!(out, "WAKE_ME i={instance} due-at={due_at} mark={timer_id}")
+            write!(
+                reply,
+                "WAKE_ME i={instance} due-at={due_at} mark={timer_id}"
+            )
         }
     }
 }
 
 /// Appends a field with a span, if there is one.
-fn write_span(out: &mut String, field: &str, span: Option<Span>) -> fmt::Result {
+fn write_span(reply: &mut String, field: &str, span: Option<Span>) -> fmt::Result {
     match span {
-        Some(span) => write!(out, " {field}={}", Seconds(span.as_micros())),
+        Some(span) => write!(reply, " {field}={}", Seconds(span.as_micros())),
         None => Ok(()),
     }
 }
--- a/crates/simulator_adapter/src/reply/tests.rs
+++ b/crates/simulator_adapter/src/reply/tests.rs
@@ -5,16 +5,10 @@
 use super::*;
 use crate::message::MessageReader;
 
-#[test]
-fn each_action_has_its_line() {
-    let mut reader = MessageReader::default();
-    reader.parse("CLOCK now=8.41225 seq=1").unwrap();
-    reader.parse("DIRECTORY sheet=0 members-list=1").unwrap();
-    reader
-        .parse("REPLICA lifecycle=in_service replica=replica_a")
-        .unwrap();
+/// Actions of instance 3 on request 5 and replica `replica_a`, each with its line.
+fn actions_with_lines() -> [(Action, &'static str); 9] {
     let (request, replica) = (RequestId(5), ReplicaId::from_name("replica_a"));
-    let actions = [
+    [
         (
             Action::StartAttempt {
                 request,
@@ -65,10 +59,20 @@
             },
             "WAKE_ME i=3 due-at=8.912250 mark=77",
         ),
-    ];
-    for (action, line) in actions {
-        let mut out = String::new();
-        write_action(&mut out, reader.replica_names(), 3, &action);
-        assert_eq!(out, format!("{line}\n"));
+    ]
+}
+
+#[test]
+fn each_action_has_its_line() {
+    let mut reader = MessageReader::default();
+    reader.parse("CLOCK now=8.41225 seq=1").unwrap();
+    reader.parse("DIRECTORY sheet=0 members-list=1").unwrap();
+    reader
+        .parse("REPLICA lifecycle=in_service replica=replica_a")
+        .unwrap();
+    for (action, line) in actions_with_lines() {
+        let mut reply = String::new();
+        write_action(&mut reply, reader.replica_names(), 3, &action);
+        assert_eq!(reply, format!("{line}\n"));
     }
 }
--- a/crates/simulator_adapter/tests/messages.rs
+++ b/crates/simulator_adapter/tests/messages.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn each_event_is_read() {
+fn arrival_is_read() {
     let mut r = reader();
     let inbound = "INBOUND i=3 ref=1564119492 cls=2 account=1 key=91f03b7c55d20a64 valid-until=8.65225 size-hint=0.012 \
                    shared-prefix=2b8e6401d9f37c10 prompt-len=1800 shared-len=1200 output-cap=256 options=19";
@@ -42,6 +42,11 @@
         (1800, 1200, 256, Timestamp::from_micros(8_652_250))
     );
     assert!(arrival.is_retry && arrival.resumed && arrival.expected_work == Span::from_millis(12));
+}
+
+#[test]
+fn events_without_an_outcome_are_read() {
+    let mut r = reader();
     let first = event(
         &mut r,
         "HEADERS i=3 ref=7 trial=1 replica=replica_a took=0.00925",
@@ -72,6 +77,11 @@
     assert!(
         matches!(event(&mut r, "FROM_PEER i=3 src=2 contents=-"), Event::PeerMessage { bytes, .. } if bytes.is_empty())
     );
+}
+
+#[test]
+fn outcomes_are_read() {
+    let mut r = reader();
     let check = "CHECK_RESULT i=3 took=0.0014 result=0 replica=replica_a telemetry=0.5,3,140,0.4";
     assert!(matches!(
         event(&mut r, check),
--- a/crates/simulator_adapter/tests/program.rs
+++ b/crates/simulator_adapter/tests/program.rs
@@ -92,18 +92,19 @@
 fn instance_restarts_within_a_batch() {
     let list = "DIRECTORY sheet=0 members-list=1\nREPLICA lifecycle=in_service replica=replica_a\n";
     let persisted = "MEMBERSHIP i=0 how=Persisted generation=1 sheet=0\n";
-    let ask = |id| format!("INBOUND i=0 ref={id} cls=0 valid-until=9 prompt-len=10 output-cap=9\n");
+    let inbound =
+        |id| format!("INBOUND i=0 ref={id} cls=0 valid-until=9 prompt-len=10 output-cap=9\n");
     let input = format!(
         "CLOCK now=5 seq=1\n{}{list}{persisted}{}HALT i=0\n{}{persisted}{}EOF_BATCH\nCLOCK now=5.1 seq=2\nHALT i=0\n{}EOF_BATCH\n",
         start(0),
-        ask(1),
+        inbound(1),
         start(0),
-        ask(2),
-        ask(3),
+        inbound(2),
+        inbound(3),
     );
-    let out = run_adapter(&input);
-    let text = String::from_utf8(out.stdout).unwrap();
-    assert!(out.status.success());
+    let output = run_adapter(&input);
+    let text = String::from_utf8(output.stdout).unwrap();
+    assert!(output.status.success());
     assert!(
         text.contains("DISPATCH i=0 ref=2 replica=replica_a"),
         "{text}"
@@ -115,8 +116,8 @@
 #[test]
 fn end_of_input_exits_cleanly() {
     for input in ["", "CLOCK now=1 seq=1\nEOF_BATCH\n"] {
-        let out = run_adapter(input);
-        assert!(out.status.success() && out.stderr.is_empty());
+        let output = run_adapter(input);
+        assert!(output.status.success() && output.stderr.is_empty());
     }
 }
 
@@ -137,12 +138,12 @@
             4,
         ),
     ] {
-        let out = run_adapter(input);
-        let message = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success(), "{input}");
+        let output = run_adapter(input);
+        let message = String::from_utf8(output.stderr).unwrap();
+        assert!(!output.status.success(), "{input}");
         assert_eq!(message.lines().count(), 1, "{message}");
         assert!(message.contains(&format!("line {line}:")), "{message}");
-        let said = String::from_utf8(out.stdout).unwrap();
-        assert!(said.lines().all(|l| l.starts_with("READY")), "{said}");
+        let replies = String::from_utf8(output.stdout).unwrap();
+        assert!(replies.lines().all(|l| l.starts_with("READY")), "{replies}");
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -14,7 +14,7 @@
 
 pub use error::ConfigError;
 use raw::{RawConfig, RouterSettings};
-pub use settings::{SettingsError, parse_settings};
+pub use settings::{SettingsError, parse_settings, quote};
 
 /// What a router without the platform's configuration uses: the two classes of the batch and edge
 /// service, for model servers that come from an inventory.
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -3,7 +3,7 @@
 use super::raw_settings::{RawClass, RawSettings};
 use crate::interface::{Class, DeduplicationScope, Idempotency, LoadReportField, Settings, Span};
 
-/// The most characters of the settings that a message quotes.
+/// The most characters of a text that a message quotes.
 const MAX_QUOTED_CHARS: usize = 40;
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -28,14 +28,20 @@
 
 impl SettingsError {
     fn unknown_value(key: &'static str, value: &str) -> SettingsError {
-        let mut quoted: String = value.chars().take(MAX_QUOTED_CHARS).collect();
-        if quoted.len() < value.len() {
-            quoted.push_str("...");
-        }
-        SettingsError::UnknownValue { key, value: quoted }
+        let value = quote(value);
+        SettingsError::UnknownValue { key, value }
     }
 }
 
+/// The start of a text from outside of the program, for messages.
+pub fn quote(text: &str) -> String {
+    let mut quoted: String = text.chars().take(MAX_QUOTED_CHARS).collect();
+    if quoted.len() < text.len() {
+        quoted.push_str("...");
+    }
+    quoted
+}
+
 /// Parses the settings' JSON object. Keys that no field stands for are ignored.
 pub fn parse_settings(text: &str) -> Result<Settings, SettingsError> {
     let raw: RawSettings = serde_json::from_str(text)?;
