--- a/crates/decision_replay/src/main.rs
+++ b/crates/decision_replay/src/main.rs
@@ -7,11 +7,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod actions;
 mod adapter;
-mod attempts;
 mod deployments;
+mod due_events;
 mod event_queue;
 mod fleet;
+mod in_flight;
+mod pending_event;
 mod replay;
 mod replies;
 mod requests;
--- a/crates/decision_replay/src/requests.rs
+++ b/crates/decision_replay/src/requests.rs
@@ -2,36 +2,16 @@
 
 use rand::RngExt;
 
+use crate::in_flight::InFlightRequest;
+use crate::pending_event::PendingEvent;
 use crate::replies::seconds;
-use crate::simulation::{PendingEvent, Simulation};
+use crate::simulation::Simulation;
 
 /// Number of sessions that requests belong to.
 const SESSIONS: u64 = 60;
 /// The mean time between two batches in seconds.
 const MEAN_BATCH_INTERVAL_S: f64 = 0.007;
 
-/// A request in flight.
-#[derive(Debug)]
-pub(crate) struct InFlightRequest {
-    pub(crate) gateway: usize,
-    /// The deadline in microseconds.
-    pub(crate) expires_at: u64,
-    pub(crate) prompt_tokens: u32,
-    pub(crate) output_tokens: u32,
-    /// Attempts so far.
-    pub(crate) attempts: u32,
-    pub(crate) current: Option<CurrentAttempt>,
-    /// Whether the gateway has rejected it.
-    pub(crate) rejected: bool,
-}
-
-/// The attempt of a request that is in flight.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct CurrentAttempt {
-    pub(crate) number: u32,
-    pub(crate) has_first_token: bool,
-}
-
 impl Simulation<'_> {
     /// Sends the requests of one batch.
     pub(crate) fn send_requests(&mut self) {
--- a/crates/decision_replay/src/simulation.rs
+++ b/crates/decision_replay/src/simulation.rs
@@ -8,8 +8,9 @@
 use crate::deployments::Deployment;
 use crate::event_queue::EventQueue;
 use crate::fleet::{Fleet, ZONES};
+use crate::in_flight::InFlightRequest;
+use crate::pending_event::PendingEvent;
 use crate::replies::{parse, seconds};
-use crate::requests::InFlightRequest;
 use crate::totals::Totals;
 
 /// The clock at the start, in microseconds.
@@ -19,43 +20,6 @@
 /// Sheet of changes to the endpoint list.
 const CHANGES_SHEET: usize = 1;
 
-/// An event that is not due yet. Times are microseconds.
-#[derive(Debug)]
-pub(crate) enum PendingEvent {
-    FirstToken {
-        request: u32,
-        attempt: u32,
-        elapsed: u64,
-    },
-    AttemptEnded(AttemptEnd),
-    RequestExpired {
-        request: u32,
-    },
-    HealthChecked {
-        gateway: usize,
-        replica: String,
-        elapsed: u64,
-    },
-    TimerDue {
-        gateway: usize,
-        timer_id: u64,
-    },
-}
-
-/// The end of an attempt.
-#[derive(Debug)]
-pub(crate) struct AttemptEnd {
-    pub(crate) request: u32,
-    pub(crate) attempt: u32,
-    /// Microseconds since the attempt's start.
-    pub(crate) elapsed: u64,
-    /// The wire's code of the outcome.
-    pub(crate) outcome: u32,
-    pub(crate) cached_tokens: u32,
-    /// The replica's name; empty where the attempt was cancelled.
-    pub(crate) replica: String,
-}
-
 /// A deployment without its gateways, drawn from a seed.
 #[derive(Debug)]
 pub struct Simulation<'a> {
--- a/crates/fake_servers/src/model_server/chat.rs
+++ b/crates/fake_servers/src/model_server/chat.rs
@@ -3,8 +3,9 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep};
 
+use super::ModelServer;
+use super::faults::Fault;
 use super::stream::AnswerStream;
-use super::{Fault, ModelServer};
 use crate::http::{Connection, Request};
 use crate::request_log::{Attempt, AttemptState, RunningAttempt};
 
--- a/crates/fake_servers/src/model_server/stream.rs
+++ b/crates/fake_servers/src/model_server/stream.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use super::chat::ChatRequest;
-use super::{Fault, ResponseDefect};
+use super::faults::{Fault, ResponseDefect};
 use crate::http::Connection;
 use crate::request_log::{AttemptState, RunningAttempt};
 
