--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,7 @@
 run: build
 	target/release/stilespan serve --config examples/config.json --batch examples/batch.toml
 
-# one of each against stand-ins: a streamed answer, a class set, a refused request and the budget that refused it
+# one of each against fake model servers: a streamed answer, a class set, a refused request and the budget that refused it
 demo: build
 	cargo run --release --locked --example demo target/release/stilespan
 
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -1,4 +1,4 @@
-//! One of each: `make demo` starts two stand-in model servers and the router with all fronts, asks
+//! One of each: `make demo` starts two fake model servers and the router with all fronts, asks
 //! for a streamed answer, hands in a class set, is refused for its budget, looks at that budget,
 //! and ends everything.
 //!
@@ -48,7 +48,7 @@
     };
     let fast = ModelServer::start(spec("fast-1", &["hint"]), tally.clone()).await?;
     let old = ModelServer::start(spec("old-1", &["hint", "marker"]), tally.clone()).await?;
-    println!("two stand-in model servers: fast-1 has hint, old-1 has hint and marker\n");
+    println!("two fake model servers: fast-1 has hint, old-1 has hint and marker\n");
 
     let folder = std::env::temp_dir().join(format!("stilespan-demo-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
