--- a/src/net/downstream/forwarding.rs
+++ b/src/net/downstream/forwarding.rs
@@ -7,7 +7,7 @@
 
 use super::reply::{RelayEnd, Reply};
 use super::request_head::RequestHead;
-use super::{NextStep, RequestError, Session};
+use super::{NextStep, Persistence, RequestError, Session};
 use crate::core::{Answer, Chunk, PendingRequest, Request};
 use crate::net::http::{Body, Head, HttpError, MAX_BODY_BYTES, is_safe_header_value};
 use crate::net::listener::{ReceivedBody, RequestOutcome};
@@ -57,7 +57,8 @@
             payload: upstream_request.into_payload(),
             client: Some(self.connection.presence()),
         };
-        self.submit(request, id_guard, head.closes()).await
+        self.submit(request, id_guard, Persistence::requested(head))
+            .await
     }
 
     /// Receives the body of a request whose client waits for `timeout`. The body must be a JSON
@@ -89,14 +90,14 @@
         &mut self,
         request: Request,
         id_guard: RequestIdGuard,
-        close: bool,
+        persistence: Persistence,
     ) -> Result<NextStep, RequestError> {
         if self.connection.has_disconnected() {
             return Ok(self.client_disconnected());
         }
         let Ok(mut pending) = self.context.core.submit(request).await else {
             let reply = Reply::unavailable("the router is ending");
-            return self.reply(&reply, true).await;
+            return self.reply(&reply, Persistence::Close).await;
         };
         let answer = tokio::select! {
             biased;
@@ -105,7 +106,7 @@
             () = self.connection.wait_for_disconnect() => return Ok(self.client_disconnected()),
         };
         match answer {
-            Answer::Started(chunks) => self.answer_stream(chunks, pending, close).await,
+            Answer::Started(chunks) => self.answer_stream(chunks, pending, persistence).await,
             Answer::Rejected {
                 retry_after,
                 forwarded,
@@ -119,7 +120,7 @@
                     retry_after,
                     ..Reply::unavailable("refused; trying again is harmless")
                 };
-                self.reply(&reply, close).await
+                self.reply(&reply, persistence).await
             }
             Answer::Failed { forwarded, .. } => {
                 pending.complete();
@@ -127,7 +128,7 @@
                     id_guard.release();
                 }
                 let reply = Reply::new(502, "Bad Gateway", "failed");
-                self.reply(&reply, close).await
+                self.reply(&reply, persistence).await
             }
         }
     }
@@ -137,16 +138,12 @@
         &mut self,
         chunks: mpsc::Receiver<Chunk>,
         pending: PendingRequest,
-        close: bool,
+        persistence: Persistence,
     ) -> Result<NextStep, RequestError> {
-        match self.relay(chunks, close).await? {
-            RelayEnd::Complete { keep_alive } => {
+        match self.relay(chunks, persistence).await? {
+            RelayEnd::Complete(persistence) => {
                 pending.complete();
-                Ok(if keep_alive {
-                    NextStep::KeepAlive
-                } else {
-                    NextStep::Close
-                })
+                Ok(persistence.into())
             }
             RelayEnd::Broken => {
                 pending.fail();
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -69,7 +69,11 @@
             }
         }
     };
-    if session.reply(&rejection.reply, true).await.is_ok() {
+    if session
+        .reply(&rejection.reply, Persistence::Close)
+        .await
+        .is_ok()
+    {
         session.connection.close(rejection.remainder).await;
     }
 }
@@ -80,6 +84,24 @@
     connection: ClientConnection,
 }
 
+/// Whether a connection stays open after an answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Persistence {
+    KeepAlive,
+    Close,
+}
+
+impl Persistence {
+    /// As the client's request has it.
+    fn requested(head: &Head) -> Persistence {
+        if head.closes() {
+            Persistence::Close
+        } else {
+            Persistence::KeepAlive
+        }
+    }
+}
+
 /// The next step of a connection after a request.
 enum NextStep {
     /// Wait for the next request.
@@ -90,6 +112,15 @@
     Drop,
 }
 
+impl From<Persistence> for NextStep {
+    fn from(persistence: Persistence) -> NextStep {
+        match persistence {
+            Persistence::KeepAlive => NextStep::KeepAlive,
+            Persistence::Close => NextStep::Close,
+        }
+    }
+}
+
 /// Why a request was not answered.
 enum RequestError {
     /// The request was rejected before it was read completely.
@@ -145,7 +176,9 @@
             return Err(RequestError::rejected(Reply::too_large(), body));
         }
         if head.path() == "/_health" {
-            return self.answer_health_check(&mut body, head.closes()).await;
+            return self
+                .answer_health_check(&mut body, Persistence::requested(head))
+                .await;
         }
         if head.method != "POST" {
             let reply = Reply::new(404, "Not Found", "no such thing");
@@ -157,7 +190,7 @@
     async fn answer_health_check(
         &mut self,
         body: &mut Body,
-        close: bool,
+        persistence: Persistence,
     ) -> Result<NextStep, RequestError> {
         let memory = self.context.body_memory.clone();
         self.connection
@@ -171,6 +204,6 @@
         } else {
             Reply::new(503, "Service Unavailable", "not ready")
         };
-        self.reply(&reply, close).await
+        self.reply(&reply, persistence).await
     }
 }
--- a/src/net/downstream/reply.rs
+++ b/src/net/downstream/reply.rs
@@ -6,7 +6,7 @@
 use bytes::{BufMut, BytesMut};
 use tokio::sync::mpsc;
 
-use super::{NextStep, RequestError, Session};
+use super::{NextStep, Persistence, RequestError, Session};
 use crate::core::Chunk;
 use crate::net::http::{HttpError, LAST_CHUNK, put_chunk};
 
@@ -49,7 +49,7 @@
         Reply::new(413, "Content Too Large", "Content Too Large")
     }
 
-    fn encode(&self, close: bool) -> String {
+    fn encode(&self, persistence: Persistence) -> String {
         let mut message = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\n",
             self.status, self.reason
@@ -57,7 +57,7 @@
         if let Some(delay) = self.retry_after {
             message.push_str(&format!("Retry-After: {:.3}\r\n", delay.as_secs_f64()));
         }
-        if close {
+        if persistence == Persistence::Close {
             message.push_str("Connection: close\r\n");
         }
         let length = self.text.len();
@@ -69,10 +69,7 @@
 /// How relaying a stream ended.
 pub(super) enum RelayEnd {
     /// The stream was written completely.
-    Complete {
-        /// Whether the connection can be used again.
-        keep_alive: bool,
-    },
+    Complete(Persistence),
     /// The stream broke off.
     Broken,
     /// The client has disconnected.
@@ -92,11 +89,11 @@
     pub(super) async fn relay(
         &mut self,
         mut chunks: mpsc::Receiver<Chunk>,
-        close: bool,
+        persistence: Persistence,
     ) -> Result<RelayEnd, HttpError> {
-        let close = close || self.connection.is_draining();
+        let persistence = self.persistence(persistence);
         let mut output = BytesMut::new();
-        put_stream_head(&mut output, close);
+        put_stream_head(&mut output, persistence);
         loop {
             let chunk = tokio::select! {
                 biased;
@@ -107,7 +104,7 @@
                 None => self.connection.write(&output).await?,
                 Some(StreamEnd::Complete) => {
                     self.connection.write_last(&output).await?;
-                    return Ok(RelayEnd::Complete { keep_alive: !close });
+                    return Ok(RelayEnd::Complete(persistence));
                 }
                 Some(StreamEnd::Broken) => {
                     self.connection.write(&output).await?;
@@ -122,24 +119,30 @@
     pub(super) async fn reply(
         &mut self,
         reply: &Reply,
-        close: bool,
+        persistence: Persistence,
     ) -> Result<NextStep, RequestError> {
-        let close = close || self.connection.is_draining();
-        let message = reply.encode(close);
+        let persistence = self.persistence(persistence);
+        let message = reply.encode(persistence);
         self.connection.write_last(message.as_bytes()).await?;
-        Ok(if close {
-            NextStep::Close
+        Ok(persistence.into())
+    }
+
+    /// Whether the connection stays open after an answer that begins now: not in a shutdown or a
+    /// drain, whatever the client requested.
+    fn persistence(&self, requested: Persistence) -> Persistence {
+        if self.connection.is_draining() {
+            Persistence::Close
         } else {
-            NextStep::KeepAlive
-        })
+            requested
+        }
     }
 }
 
-fn put_stream_head(output: &mut BytesMut, close: bool) {
+fn put_stream_head(output: &mut BytesMut, persistence: Persistence) {
     output.put_slice(
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n",
     );
-    if close {
+    if persistence == Persistence::Close {
         output.put_slice(b"Connection: close\r\n");
     }
     output.put_slice(b"\r\n");
