--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! stilespan: a request router for fleets of language-model servers.
 //!
-//! The decisions stand in [`policy`]: one [`Balancer`] is told everything that happens as
-//! [`interface::Event`]s and hands back [`interface::Action`]s; it does no I/O and reads no clock.
-//! [`core`] drives it and knows no wire; [`net`] speaks the platform's protocol; [`router`] puts
+//! Decisions are made in [`policy`]: a [`Balancer`] receives everything that happens as
+//! [`interface::Event`]s and returns [`interface::Action`]s; it does no I/O and reads no clock.
+//! [`core`] drives it and knows no protocol; [`net`] implements the platform's; [`router`] puts
 //! them together.
 //!
 //! An example stands in the README.
