--- a/src/net/handover/limit_shares/tests.rs
+++ b/src/net/handover/limit_shares/tests.rs
@@ -13,8 +13,8 @@
 #[tokio::test]
 async fn shares_never_exceed_the_limits() {
     let (old, new) = (LimitShares::all(140, 100), LimitShares::empty(140, 100));
-    let whole = old.owned();
-    assert_eq!(whole, [50, 50, 100].into());
+    let total = old.owned();
+    assert_eq!(total, [50, 50, 100].into());
     assert_eq!(new.owned(), [0; 3].into());
     // 45 clients are connected there: their sockets come as they go
     let mut connected = Vec::new();
@@ -34,7 +34,7 @@
                 new.add(amounts);
                 received = received + amounts;
                 // what is on its way counts with neither
-                assert!(!exceeds(old.owned() + new.owned(), whole));
+                assert!(!exceeds(old.owned() + new.owned(), total));
                 connected.pop();
             }
         }
@@ -52,7 +52,7 @@
         new.raise_to_all();
         new.add([3, 3, 3].into());
     }
-    assert_eq!(new.owned(), whole);
+    assert_eq!(new.owned(), total);
 }
 
 #[test]
@@ -67,12 +67,12 @@
 #[tokio::test]
 async fn unreceived_transfer_stays_here() {
     let shares = LimitShares::all(140, 100);
-    let whole = shares.owned();
+    let total = shares.owned();
     let (transfers_to, transfers) = mpsc::unbounded_channel();
     drop(transfers);
     for resource in RESOURCES {
         shares.transfer(resource, 25, &transfers_to).await;
     }
-    assert_eq!(shares.owned(), whole);
+    assert_eq!(shares.owned(), total);
     assert_eq!(shares.body_memory.available_permits(), 100);
 }
--- a/src/net/handover/message_stream/tests.rs
+++ b/src/net/handover/message_stream/tests.rs
@@ -13,12 +13,12 @@
 #[case::nothing("", None)]
 #[case::half_a_message("{\"call\":{\"id\":1,\"call\":\"dr", None)]
 #[case::all_but_the_line_end("{\"call\":{\"id\":1,\"call\":\"drain\"}}", None)]
-#[case::whole("{\"call\":{\"id\":1,\"call\":\"drain\"}}\n", Some(true))]
+#[case::complete("{\"call\":{\"id\":1,\"call\":\"drain\"}}\n", Some(true))]
 #[case::no_json("{\"call\":{\"id\":1,\"call\":\"dr\n", Some(false))]
 #[case::unknown("{\"calls\":[]}\n", Some(false))]
 #[case::no_text("\u{0}\n", Some(false))]
 #[tokio::test]
-async fn only_whole_lines_are_messages(#[case] written: &str, #[case] is_message: Option<bool>) {
+async fn only_complete_lines_are_messages(#[case] written: &str, #[case] is_message: Option<bool>) {
     let (mut peer, stream) = UnixStream::pair().unwrap();
     peer.write_all(written.as_bytes()).await.unwrap();
     drop(peer);
--- a/src/net/handover/outgoing_transfers/tests.rs
+++ b/src/net/handover/outgoing_transfers/tests.rs
@@ -4,7 +4,7 @@
 #[tokio::test]
 async fn dropped_transfers_return_all_limits() {
     let limits = LimitShares::all(140, 100);
-    let whole = limits.owned();
+    let total = limits.owned();
     let (released_to, released) = mpsc::unbounded_channel();
     let mut transfers = OutgoingTransfers::new(&limits, released);
     limits
@@ -18,5 +18,5 @@
         .await;
     assert_eq!(limits.owned(), [30, 50, 70].into());
     drop(transfers);
-    assert_eq!(limits.owned(), whole);
+    assert_eq!(limits.owned(), total);
 }
--- a/src/net/handover/session/tests.rs
+++ b/src/net/handover/session/tests.rs
@@ -21,13 +21,13 @@
     #[case] from_successor: &str,
 ) {
     let text = serde_json::to_string(&message).unwrap();
-    for (peer, wanted) in [
+    for (peer, expected) in [
         (Peer::Predecessor, from_predecessor),
         (Peer::Successor, from_successor),
     ] {
         let message = serde_json::from_str(&text).unwrap();
         let effect = format!("{:?}", Session::new(peer).receive(message));
-        assert!(effect.starts_with(wanted), "{peer:?}: {effect}");
+        assert!(effect.starts_with(expected), "{peer:?}: {effect}");
     }
 }
 
--- a/src/storage/atomic_file/tests.rs
+++ b/src/storage/atomic_file/tests.rs
@@ -95,12 +95,12 @@
         assert_eq!(error.step, step);
         assert!(error.to_string().contains(&step.to_string()), "{error}");
         assert_eq!(disk.names(), [file().path(), file().copy()]);
-        let wanted = if step == WriteStep::SyncDirectory {
+        let expected = if step == WriteStep::SyncDirectory {
             NEW
         } else {
             OLD
         };
-        assert_eq!(disk.content(file().path()).unwrap(), wanted);
+        assert_eq!(disk.content(file().path()).unwrap(), expected);
         file().write(&disk, NEW).unwrap();
         assert_eq!(
             disk.restarted(Loss::NamesAndData)
--- a/src/storage/background_writer/tests.rs
+++ b/src/storage/background_writer/tests.rs
@@ -37,13 +37,13 @@
     for state in ["one", "two", "three"] {
         let version = writer.submit(state);
         let start = Instant::now();
-        let wanted = "state.file: create: No space left";
+        let expected = "state.file: create: No space left";
         while !writer
             .wait_written(version, Duration::from_millis(20))
             .await
             .unwrap_err()
             .to_string()
-            .contains(wanted)
+            .contains(expected)
         {
             assert!(start.elapsed() < LONG, "never reported");
         }
