--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -17,16 +17,10 @@
         // tenant 1 stays within its quota, tenant 0 sends five times as much; nothing is answered
         // in time
         let tenant = u32::from(id % 6 == 0);
-        let actions = gateway.ask(
-            10_000,
-            Arrival {
-                tenant,
-                ..arrival(id)
-            },
-        );
-        shed[tenant as usize] += usize::from(refused(&actions, id));
+        let actions = gateway.submit(10_000, arrival(id).with_tenant(tenant));
+        shed[tenant as usize] += usize::from(is_rejected(&actions, id));
         for (sent, _) in sends(&actions) {
-            gateway.step(0, vec![ended(sent, 0, Outcome::Rejected, false)]);
+            gateway.step(0, vec![attempt_ended(sent, 0, Outcome::Rejected, false)]);
         }
     }
     assert!(shed[0] > 500 && shed[1] * 5 < shed[0], "{shed:?}");
@@ -38,16 +32,10 @@
     let mut shed = [0, 0];
     for id in 1..2_000 {
         let repeat = id % 2 == 0;
-        let actions = gateway.ask(
-            10_000,
-            Arrival {
-                is_retry: repeat,
-                ..arrival(id)
-            },
-        );
-        shed[usize::from(repeat)] += usize::from(refused(&actions, id));
+        let actions = gateway.submit(10_000, arrival(id).with_retry_mark(repeat));
+        shed[usize::from(repeat)] += usize::from(is_rejected(&actions, id));
         for (sent, _) in sends(&actions) {
-            gateway.step(0, vec![ended(sent, 0, Outcome::Rejected, false)]);
+            gateway.step(0, vec![attempt_ended(sent, 0, Outcome::Rejected, false)]);
         }
     }
     assert!(shed[1] > 500 && shed[1] > shed[0], "{shed:?}");
@@ -59,10 +47,10 @@
     // would hardly grow
     let mut gateway = Gateway::new(settings(), 2);
     for id in 1..400 {
-        let mut sent = sends(&gateway.ask(10_000, arrival(id)));
+        let mut sent = sends(&gateway.submit(10_000, arrival(id)));
         for attempt in 0..3 {
             let full = sent.iter().map(|s| {
-                ended(
+                attempt_ended(
                     s.0,
                     attempt * u32::from(s.0 == id),
                     Outcome::Rejected,
@@ -77,11 +65,11 @@
     }
     let mut served = 0;
     for id in 1_000..1_100 {
-        let mut sent = sends(&gateway.ask(500_000, arrival(id)));
+        let mut sent = sends(&gateway.submit(500_000, arrival(id)));
         served += sent.len();
         for (id, _) in sent.drain(..) {
-            gateway.step(50_000, vec![first(id, 0, 50_000)]);
-            gateway.step(50_000, vec![ended(id, 0, Outcome::Completed, true)]);
+            gateway.step(50_000, vec![first_token(id, 0, 50_000)]);
+            gateway.step(50_000, vec![attempt_ended(id, 0, Outcome::Completed, true)]);
         }
     }
     assert!(served > 90, "{served}");
@@ -93,8 +81,8 @@
     let mut gateway = Gateway::new(settings(), 4);
     let mut rejections = 0;
     for id in 0..120 {
-        let actions = gateway.ask(250_000, arrival(id));
-        if refused(&actions, id) {
+        let actions = gateway.submit(250_000, arrival(id));
+        if is_rejected(&actions, id) {
             rejections += 1;
             continue;
         }
@@ -104,11 +92,11 @@
             Outcome::Completed
         };
         if outcome == Outcome::Completed {
-            gateway.step(50_000, vec![first(id, 0, 50_000)]);
+            gateway.step(50_000, vec![first_token(id, 0, 50_000)]);
         }
         gateway.step(
             10_000,
-            vec![ended(id, 0, outcome, outcome == Outcome::Completed)],
+            vec![attempt_ended(id, 0, outcome, outcome == Outcome::Completed)],
         );
     }
     assert!(
@@ -124,18 +112,27 @@
     let mut gateway = Gateway::new(settings(), 6);
     let mut rejections = 0;
     for id in 1..=300 {
-        let mut actions = gateway.ask(50_000, arrival(id));
-        assert!(!refused(&actions, id), "request {id} after {rejections}");
+        let mut actions = gateway.submit(50_000, arrival(id));
+        assert!(
+            !is_rejected(&actions, id),
+            "request {id} after {rejections}"
+        );
         for attempt in 0.. {
             let Some(&(_, replica)) = sends(&actions).first() else {
                 break;
             };
             if attempt < 2 && (u64::from(id) + replica).is_multiple_of(5) {
                 rejections += 1;
-                actions = gateway.step(5_000, vec![ended(id, attempt, Outcome::Rejected, false)]);
+                actions = gateway.step(
+                    5_000,
+                    vec![attempt_ended(id, attempt, Outcome::Rejected, false)],
+                );
             } else {
-                gateway.step(5_000, vec![first(id, attempt, 10_000)]);
-                actions = gateway.step(1_000, vec![ended(id, attempt, Outcome::Completed, true)]);
+                gateway.step(5_000, vec![first_token(id, attempt, 10_000)]);
+                actions = gateway.step(
+                    1_000,
+                    vec![attempt_ended(id, attempt, Outcome::Completed, true)],
+                );
             }
         }
     }
@@ -148,14 +145,12 @@
     set.classes[0].first_token_objective_stretch = 2.0;
     for (hint, late) in [(0, true), (1_000_000, false), (90_000_000, false)] {
         let mut gateway = Gateway::new(set.clone(), 0);
-        gateway.ask(
-            0,
-            Arrival {
-                expected_work: Span::from_micros(hint),
-                ..arrival(1)
-            },
+        gateway.submit(0, arrival(1).with_expected_work(Span::from_micros(hint)));
+        assert_eq!(
+            is_rejected(&gateway.step(1_500_000, vec![]), 1),
+            late,
+            "{hint}"
         );
-        assert_eq!(refused(&gateway.step(1_500_000, vec![]), 1), late, "{hint}");
         gateway.step(3_600_000, vec![]);
         assert!(gateway.step(0, vec![]).is_empty());
     }
--- a/tests/balancer/dispatch.rs
+++ b/tests/balancer/dispatch.rs
@@ -13,26 +13,13 @@
     });
     let mut gateway = Gateway::new(set, 1);
     // far beyond any slack budget, yet the most urgent request is sent
-    let long = Arrival {
-        prompt_tokens: 5_000,
-        ..arrival(1)
-    };
-    assert_eq!(sends(&gateway.ask(2_000, long)), [(1, 0)]);
-    assert!(gateway.ask(2_000, arrival(2)).is_empty());
-    assert!(
-        gateway
-            .ask(
-                2_000,
-                Arrival {
-                    class: 1,
-                    ..arrival(3)
-                }
-            )
-            .is_empty()
-    );
+    let long = arrival(1).with_prompt_tokens(5_000);
+    assert_eq!(sends(&gateway.submit(2_000, long)), [(1, 0)]);
+    assert!(gateway.submit(2_000, arrival(2)).is_empty());
+    assert!(gateway.submit(2_000, arrival(3).with_class(1)).is_empty());
     // it matures at once when none of our streams is left; the shorter objective goes first
-    gateway.step(10_000, vec![first(1, 0, 200_000)]);
-    let actions = gateway.step(10_000, vec![ended(1, 0, Outcome::Completed, true)]);
+    gateway.step(10_000, vec![first_token(1, 0, 200_000)]);
+    let actions = gateway.step(10_000, vec![attempt_ended(1, 0, Outcome::Completed, true)]);
     assert_eq!(sends(&actions)[0], (3, 0));
 }
 
@@ -41,18 +28,17 @@
     let mut set = settings();
     set.classes[0].first_token_objective_per_1000_prompt_tokens = Span::from_millis(100);
     let mut gateway = Gateway::new(set, 6);
-    let turn = |id| Arrival {
-        session: Some(77),
-        prompt_tokens: 4_000,
-        ..arrival(id)
-    };
-    let home = sends(&gateway.ask(2_000, turn(1)))[0].1;
-    gateway.step(500_000, vec![first(1, 0, 480_000)]);
-    gateway.step(300_000, vec![ended(1, 0, Outcome::Completed, true)]);
+    let turn = |id| arrival(id).with_session(77).with_prompt_tokens(4_000);
+    let home = sends(&gateway.submit(2_000, turn(1)))[0].1;
+    gateway.step(500_000, vec![first_token(1, 0, 480_000)]);
+    gateway.step(300_000, vec![attempt_ended(1, 0, Outcome::Completed, true)]);
     for id in 2..8 {
-        assert_eq!(sends(&gateway.ask(2_000_000, turn(id))), [(id, home)]);
-        gateway.step(100_000, vec![first(id, 0, 60_000)]);
-        gateway.step(100_000, vec![ended(id, 0, Outcome::Completed, true)]);
+        assert_eq!(sends(&gateway.submit(2_000_000, turn(id))), [(id, home)]);
+        gateway.step(100_000, vec![first_token(id, 0, 60_000)]);
+        gateway.step(
+            100_000,
+            vec![attempt_ended(id, 0, Outcome::Completed, true)],
+        );
     }
 }
 
@@ -61,29 +47,24 @@
     let mut gateway = Gateway::new(settings(), 2);
     let serve = |gateway: &mut Gateway, request: Arrival, elapsed: u64| {
         let id = request.request.0;
-        let sent = sends(&gateway.ask(2_000, request));
-        gateway.step(elapsed, vec![first(id, 0, elapsed)]);
-        gateway.step(10_000, vec![ended(id, 0, Outcome::Completed, true)]);
+        let sent = sends(&gateway.submit(2_000, request));
+        gateway.step(elapsed, vec![first_token(id, 0, elapsed)]);
+        gateway.step(10_000, vec![attempt_ended(id, 0, Outcome::Completed, true)]);
         sent
     };
     // 0.2 s for 500 tokens all over the fleet: the objective of 1 s is reached at about 2,500
     for id in 0..60 {
         serve(
             &mut gateway,
-            Arrival {
-                prompt_tokens: 250 + 250 * (id % 3),
-                ..arrival(id)
-            },
+            arrival(id).with_prompt_tokens(250 + 250 * (id % 3)),
             100_000 + 100_000 * u64::from(id % 3),
         );
     }
     // a session whose every turn adds 500 tokens
     for turn in 1..10 {
-        let request = Arrival {
-            session: Some(9),
-            prompt_tokens: 500 * turn,
-            ..arrival(100 + turn)
-        };
+        let request = arrival(100 + turn)
+            .with_session(9)
+            .with_prompt_tokens(500 * turn);
         assert_eq!(
             serve(&mut gateway, request, 200_000).len(),
             1,
@@ -91,14 +72,8 @@
         );
     }
     // a prompt as long that no replica has cached is rejected at once
-    let actions = gateway.ask(
-        2_000,
-        Arrival {
-            prompt_tokens: 4_500,
-            ..arrival(200)
-        },
-    );
-    assert!(refused(&actions, 200), "{actions:?}");
+    let actions = gateway.submit(2_000, arrival(200).with_prompt_tokens(4_500));
+    assert!(is_rejected(&actions, 200), "{actions:?}");
 }
 
 #[test]
@@ -112,20 +87,20 @@
     let mut to_warming = [0; 2];
     for (second, count) in to_warming.iter_mut().enumerate() {
         if second == 1 {
-            let started = ReplicaEntry {
-                started_at: gateway.now,
-                ..entry(9)
-            };
-            gateway.step(1_000, vec![list(EndpointListKind::Partial, vec![started])]);
+            let started = entry(9).with_started_at(gateway.now);
+            gateway.step(
+                1_000,
+                vec![endpoints_updated(EndpointListKind::Partial, vec![started])],
+            );
         }
         for _ in 0..100 {
             id += 1;
-            *count += sends(&gateway.ask(10_000, arrival(id)))
+            *count += sends(&gateway.submit(10_000, arrival(id)))
                 .iter()
                 .filter(|s| s.1 == 9)
                 .count();
-            gateway.step(1_000, vec![first(id, 0, 1_000)]);
-            gateway.step(1_000, vec![ended(id, 0, Outcome::Completed, true)]);
+            gateway.step(1_000, vec![first_token(id, 0, 1_000)]);
+            gateway.step(1_000, vec![attempt_ended(id, 0, Outcome::Completed, true)]);
         }
     }
     // a fifth replica's part of 100 requests is 20; a warming one's is half of four times a tenth
@@ -137,13 +112,13 @@
 #[test]
 fn overdue_first_token_stops_sends() {
     let mut gateway = Gateway::new(settings(), 2);
-    let (_, slow) = sends(&gateway.ask(2_000, arrival(1)))[0];
+    let (_, slow) = sends(&gateway.submit(2_000, arrival(1)))[0];
     // far beyond the prediction, before any outcome
     for k in 0..3 {
         let id = 10 + k;
-        let sent = sends(&gateway.ask(900_000, arrival(id)));
+        let sent = sends(&gateway.submit(900_000, arrival(id)));
         assert!(sent.iter().all(|s| s.1 != slow), "{sent:?}");
-        gateway.step(10_000, vec![first(id, 0, 50_000)]);
-        gateway.step(10_000, vec![ended(id, 0, Outcome::Completed, true)]);
+        gateway.step(10_000, vec![first_token(id, 0, 50_000)]);
+        gateway.step(10_000, vec![attempt_ended(id, 0, Outcome::Completed, true)]);
     }
 }
--- a/tests/balancer/events.rs
+++ b/tests/balancer/events.rs
@@ -32,8 +32,10 @@
         times.push(start);
         for _ in 0..5 {
             assert!(
-                next_poll(&mut now, vec![list(EndpointListKind::Error, vec![])])
-                    <= Span::from_secs(8)
+                next_poll(
+                    &mut now,
+                    vec![endpoints_updated(EndpointListKind::Error, vec![])]
+                ) <= Span::from_secs(8)
             );
         }
     }
@@ -46,8 +48,8 @@
 fn unknown_ids_change_nothing() {
     let mut gateway = Gateway::new(settings(), 0);
     let events = vec![
-        ended(5, 0, Outcome::Completed, true),
-        first(5, 3, 100),
+        attempt_ended(5, 0, Outcome::Completed, true),
+        first_token(5, 3, 100),
         Event::ClientDisconnected {
             request: RequestId(5),
         },
@@ -65,21 +67,27 @@
     ];
     assert!(gateway.step(1_000, events).is_empty());
     // with no replica at all a request is still answered in time
-    assert!(gateway.ask(1_000, arrival(1)).is_empty());
-    assert!(refused(&gateway.step(1_000_000, vec![]), 1));
+    assert!(gateway.submit(1_000, arrival(1)).is_empty());
+    assert!(is_rejected(&gateway.step(1_000_000, vec![]), 1));
     // an outcome of an attempt that does not exist, and one reported twice
-    gateway.step(0, vec![list(EndpointListKind::Complete, vec![entry(0)])]);
-    gateway.ask(10_000, arrival(2));
+    gateway.step(
+        0,
+        vec![endpoints_updated(
+            EndpointListKind::Complete,
+            vec![entry(0)],
+        )],
+    );
+    gateway.submit(10_000, arrival(2));
     assert!(
         gateway
-            .step(1_000, vec![ended(2, 7, Outcome::Completed, false)])
+            .step(1_000, vec![attempt_ended(2, 7, Outcome::Completed, false)])
             .is_empty()
     );
     gateway.step(
         1_000,
         vec![
-            ended(2, 0, Outcome::Completed, true),
-            ended(2, 0, Outcome::Completed, true),
+            attempt_ended(2, 0, Outcome::Completed, true),
+            attempt_ended(2, 0, Outcome::Completed, true),
         ],
     );
 }
--- a/tests/balancer/replicas.rs
+++ b/tests/balancer/replicas.rs
@@ -13,8 +13,8 @@
         Outcome::ConnectFailed,
     ] {
         let mut gateway = Gateway::new(settings(), 2);
-        let (_, bad) = sends(&gateway.ask(2_000, arrival(1)))[0];
-        let again = sends(&gateway.step(2_000, vec![ended(1, 0, outcome, false)]));
+        let (_, bad) = sends(&gateway.submit(2_000, arrival(1)))[0];
+        let again = sends(&gateway.step(2_000, vec![attempt_ended(1, 0, outcome, false)]));
         assert_eq!(again, [(1, 1 - bad)], "{outcome:?}");
     }
 }
@@ -24,22 +24,25 @@
     let mut gateway = Gateway::new(settings(), 4);
     let (mut failures, mut failing) = (0, None);
     for id in 1..=400 {
-        let mut actions = gateway.ask(5_000, arrival(id));
+        let mut actions = gateway.submit(5_000, arrival(id));
         for attempt in 0..3 {
-            assert!(!refused(&actions, id));
+            assert!(!is_rejected(&actions, id));
             let [(_, replica)] = sends(&actions)[..] else {
                 panic!("{actions:?}")
             };
             // the first replica that is tried takes no connections
             if replica != *failing.get_or_insert(replica) {
-                gateway.step(1_000, vec![first(id, attempt, 1_000)]);
-                gateway.step(1_000, vec![ended(id, attempt, Outcome::Completed, true)]);
+                gateway.step(1_000, vec![first_token(id, attempt, 1_000)]);
+                gateway.step(
+                    1_000,
+                    vec![attempt_ended(id, attempt, Outcome::Completed, true)],
+                );
                 break;
             }
             failures += 1;
             actions = gateway.step(
                 1_000,
-                vec![ended(id, attempt, Outcome::ConnectFailed, false)],
+                vec![attempt_ended(id, attempt, Outcome::ConnectFailed, false)],
             );
         }
     }
@@ -51,8 +54,8 @@
 #[test]
 fn late_stream_failure_keeps_replica() {
     let mut gateway = Gateway::new(settings(), 1);
-    assert_eq!(sends(&gateway.ask(2_000, arrival(1))).len(), 1);
-    gateway.step(50_000, vec![first(1, 0, 50_000)]);
+    assert_eq!(sends(&gateway.submit(2_000, arrival(1))).len(), 1);
+    gateway.step(50_000, vec![first_token(1, 0, 50_000)]);
     let (request, elapsed, outcome) = (RequestId(1), Span::from_secs(4), Outcome::ConnectionReset);
     let broken = Event::AttemptEnded(AttemptEnded {
         request,
@@ -65,7 +68,7 @@
     });
     gateway.step(3_950_000, vec![broken]);
     gateway.step(1_500_000, vec![]);
-    assert_eq!(sends(&gateway.ask(2_000, arrival(2))).len(), 1);
+    assert_eq!(sends(&gateway.submit(2_000, arrival(2))).len(), 1);
 }
 
 #[test]
@@ -74,24 +77,27 @@
         let mut gateway = Gateway::new(settings(), 1);
         gateway.step(
             2_000,
-            vec![list(
+            vec![endpoints_updated(
                 EndpointListKind::Partial,
-                vec![ReplicaEntry { state, ..entry(0) }],
+                vec![entry(0).with_state(state)],
             )],
         );
-        let actions = gateway.ask(2_000, arrival(1));
+        let actions = gateway.submit(2_000, arrival(1));
         assert!(sends(&actions).is_empty());
         // and the request is answered at once: the list that has arrived names no replica that
         // could take it
-        assert!(refused(&actions, 1), "{actions:?}");
+        assert!(is_rejected(&actions, 1), "{actions:?}");
     }
     // a replica that a complete list does not name is removed too
     let mut gateway = Gateway::new(settings(), 2);
     gateway.step(
         2_000,
-        vec![list(EndpointListKind::Complete, vec![entry(1)])],
+        vec![endpoints_updated(
+            EndpointListKind::Complete,
+            vec![entry(1)],
+        )],
     );
-    assert_eq!(sends(&gateway.ask(2_000, arrival(1))), [(1, 1)]);
+    assert_eq!(sends(&gateway.submit(2_000, arrival(1))), [(1, 1)]);
 }
 
 /// Guards against memory and processing time that grow with every replica that was ever listed.
@@ -99,19 +105,19 @@
 fn withdrawn_replicas_free_memory() {
     let mut gateway = Gateway::new(settings(), 2);
     for k in 2..500 {
-        let removed = ReplicaEntry {
-            state: EndpointState::Removed,
-            ..entry(k - 2)
-        };
+        let removed = entry(k - 2).with_state(EndpointState::Removed);
         gateway.step(
             20_000,
-            vec![list(EndpointListKind::Partial, vec![removed, entry(k)])],
+            vec![endpoints_updated(
+                EndpointListKind::Partial,
+                vec![removed, entry(k)],
+            )],
         );
         let id = k as u32;
-        let sent = sends(&gateway.ask(2_000, arrival(id)));
+        let sent = sends(&gateway.submit(2_000, arrival(id)));
         assert!(sent.iter().all(|s| s.1 == k || s.1 == k - 1), "{sent:?}");
-        gateway.step(5_000, vec![first(id, 0, 10_000)]);
-        gateway.step(1_000, vec![ended(id, 0, Outcome::Completed, true)]);
+        gateway.step(5_000, vec![first_token(id, 0, 10_000)]);
+        gateway.step(1_000, vec![attempt_ended(id, 0, Outcome::Completed, true)]);
     }
     assert!(
         gateway.balancer.tracked_replicas() <= 4,
--- a/tests/balancer/retries.rs
+++ b/tests/balancer/retries.rs
@@ -14,11 +14,11 @@
         (Outcome::ConnectionReset, false),
     ] {
         let mut gateway = Gateway::new(set.clone(), 2);
-        gateway.ask(2_000, arrival(1));
-        let actions = gateway.step(2_000, vec![ended(1, 0, outcome, false)]);
+        gateway.submit(2_000, arrival(1));
+        let actions = gateway.step(2_000, vec![attempt_ended(1, 0, outcome, false)]);
         assert_eq!(!sends(&actions).is_empty(), again, "{outcome:?}");
-        assert_eq!(failed(&actions, 1), !again, "{outcome:?}");
-        assert!(!refused(&actions, 1));
+        assert_eq!(is_failed(&actions, 1), !again, "{outcome:?}");
+        assert!(!is_rejected(&actions, 1));
     }
 }
 
@@ -31,19 +31,19 @@
         ..set.classes[0].clone()
     };
     let fleet = |cells: [u32; 2]| {
-        let entries = cells.iter().enumerate().map(|(k, &cell)| ReplicaEntry {
-            cell,
-            ..entry(k as u64)
-        });
-        list(EndpointListKind::Persisted, entries.collect())
+        let entries = cells
+            .iter()
+            .enumerate()
+            .map(|(k, &cell)| entry(k as u64).with_cell(cell));
+        endpoints_updated(EndpointListKind::Persisted, entries.collect())
     };
     let run = |cells, window| {
         let mut set = set.clone();
         set.classes[0].deduplication_window = Span::from_micros(window);
         let mut gateway = Gateway::new(set, 0);
         gateway.step(0, vec![fleet(cells)]);
-        gateway.ask(2_000, arrival(1));
-        gateway.step(50_000, vec![ended(1, 0, Outcome::Error, false)])
+        gateway.submit(2_000, arrival(1));
+        gateway.step(50_000, vec![attempt_ended(1, 0, Outcome::Error, false)])
     };
     assert_eq!(sends(&run([3, 3], 5_000_000)).len(), 1);
     assert!(sends(&run([3, 4], 5_000_000)).is_empty());
@@ -53,7 +53,10 @@
 #[test]
 fn deadline_timeout_is_answered() {
     let mut gateway = Gateway::new(settings(), 1);
-    gateway.ask(2_000, arrival(1));
-    let actions = gateway.step(1_000_000, vec![ended(1, 0, Outcome::Timeout, false)]);
-    assert!(refused(&actions, 1));
+    gateway.submit(2_000, arrival(1));
+    let actions = gateway.step(
+        1_000_000,
+        vec![attempt_ended(1, 0, Outcome::Timeout, false)],
+    );
+    assert!(is_rejected(&actions, 1));
 }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -26,15 +26,7 @@
 
     /// The same with seeds from this one on, one for each gateway.
     pub fn seeded(settings: &Settings, entries: &[ReplicaEntry], first: u64) -> Fleet {
-        let gateway = |seed| {
-            let balancer = stilespan::Balancer::new(settings.clone(), first + seed, START);
-            let mut gateway = Gateway {
-                balancer,
-                now: START,
-            };
-            gateway.step(0, vec![list(EndpointListKind::Persisted, entries.to_vec())]);
-            gateway
-        };
+        let gateway = |seed| Gateway::seeded(settings.clone(), first + seed, entries.to_vec());
         let gateways = (0..u64::from(settings.router_count)).map(gateway).collect();
         Fleet {
             gateways,
@@ -54,10 +46,7 @@
                 start + Span::from_micros(span.as_micros() * k as u64 / self.gateways.len() as u64);
             self.settle(now);
             self.last_request += 1;
-            let request = Arrival {
-                expires_at: now + Span::from_secs(5),
-                ..arrival(self.last_request)
-            };
+            let request = arrival(self.last_request).with_expires_at(now + Span::from_secs(5));
             self.step(k, now, vec![Event::RequestReceived(request)]);
         }
         let end = start + span;
@@ -71,7 +60,10 @@
         let (due, in_flight) = self.in_flight.iter().partition(|o| o.0 <= now);
         self.in_flight = in_flight;
         for (at, k, id) in due {
-            let events = vec![first(id, 0, 50_000), ended(id, 0, Outcome::Completed, true)];
+            let events = vec![
+                first_token(id, 0, 50_000),
+                attempt_ended(id, 0, Outcome::Completed, true),
+            ];
             self.step(k, at.max(self.gateways[k].now), events);
         }
     }
@@ -131,7 +123,7 @@
     }
 }
 
-pub fn probes(actions: &[Action]) -> Vec<u64> {
+pub fn health_checks(actions: &[Action]) -> Vec<u64> {
     let probe = |a: &Action| match a {
         Action::CheckHealth { replica } => Some(replica.0),
         _ => None,
@@ -139,7 +131,7 @@
     actions.iter().filter_map(probe).collect()
 }
 
-pub fn told(replica: u64, outcome: Outcome, report: Option<LoadReport>) -> Event {
+pub fn health_check_ended(replica: u64, outcome: Outcome, report: Option<LoadReport>) -> Event {
     Event::HealthCheckEnded(HealthCheckEnded {
         replica: ReplicaId(replica),
         outcome,
--- /dev/null
+++ b/tests/common/gateway.rs
@@ -0,0 +1,131 @@
+//! A gateway in miniature: it keeps time, calls the balancer and collects actions. It models no
+//! replica.
+#![allow(dead_code)]
+
+use stilespan::Balancer;
+use stilespan::interface::*;
+
+use super::builders::*;
+
+/// When the tests of the decision module begin.
+pub const START: Timestamp = Timestamp::from_secs(100);
+
+/// A balancer, and the time that it was last called with.
+pub struct Gateway {
+    pub balancer: Balancer,
+    pub now: Timestamp,
+}
+
+/// Settings of one class with retries, cancellation and hedged requests.
+pub fn settings() -> Settings {
+    let class = Class {
+        first_token_objective: Span::from_secs(1),
+        token_interval_objective: Span::from_millis(80),
+        ..Class::default()
+    };
+    Settings {
+        classes: vec![class],
+        max_attempts: 3,
+        cancellation: true,
+        hedged_requests: true,
+        drain_grace: Span::from_millis(500),
+        overload_factor: 4.0,
+        ..Settings::default()
+    }
+}
+
+/// An endpoint list update.
+pub fn endpoints_updated(kind: EndpointListKind, entries: Vec<ReplicaEntry>) -> Event {
+    Event::EndpointsUpdated {
+        kind,
+        entries: entries.into(),
+    }
+}
+
+/// The end of an attempt after 50 ms.
+pub fn attempt_ended(
+    request: u32,
+    attempt: u32,
+    outcome: Outcome,
+    request_complete: bool,
+) -> Event {
+    let (request, elapsed) = (RequestId(request), Span::from_millis(50));
+    Event::AttemptEnded(AttemptEnded {
+        request,
+        attempt,
+        outcome,
+        elapsed,
+        cached_tokens: None,
+        request_complete,
+        load_report: None,
+    })
+}
+
+/// The first token of an attempt, so many microseconds after its start.
+pub fn first_token(request: u32, attempt: u32, elapsed: u64) -> Event {
+    Event::FirstToken {
+        request: RequestId(request),
+        attempt,
+        elapsed: Span::from_micros(elapsed),
+    }
+}
+
+impl Gateway {
+    /// A gateway with so many replicas, numbered from 0.
+    pub fn new(settings: Settings, replicas: u64) -> Gateway {
+        Gateway::seeded(settings, 11, (0..replicas).map(entry).collect())
+    }
+
+    /// A gateway with this seed and these entries in its persisted list.
+    pub fn seeded(settings: Settings, seed: u64, entries: Vec<ReplicaEntry>) -> Gateway {
+        let mut gateway = Gateway {
+            balancer: Balancer::new(settings, seed, START),
+            now: START,
+        };
+        gateway.step(
+            0,
+            vec![endpoints_updated(EndpointListKind::Persisted, entries)],
+        );
+        gateway
+    }
+
+    /// Lets so many microseconds pass, passes the events on and returns the actions, timers aside.
+    pub fn step(&mut self, after: u64, events: Vec<Event>) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.now = self.now + Span::from_micros(after);
+        self.balancer.step(self.now, &events, &mut actions);
+        actions.retain(|a| !matches!(a, Action::SetTimer { .. }));
+        actions
+    }
+
+    /// Passes a request on after so many microseconds; its client waits for 5 s.
+    pub fn submit(&mut self, after: u64, mut arrival: Arrival) -> Vec<Action> {
+        arrival.expires_at = Timestamp::from_micros(self.now.as_micros() + after + 5_000_000);
+        self.step(after, vec![Event::RequestReceived(arrival)])
+    }
+}
+
+/// The attempts that these actions start: requests, and the replicas that get them.
+pub fn sends(actions: &[Action]) -> Vec<(u32, u64)> {
+    let send = |a: &Action| match a {
+        Action::StartAttempt {
+            request, replica, ..
+        } => Some((request.0, replica.0)),
+        _ => None,
+    };
+    actions.iter().filter_map(send).collect()
+}
+
+/// Whether a request is rejected: its client may retry.
+pub fn is_rejected(actions: &[Action], id: u32) -> bool {
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Reject { request, .. } if request.0 == id))
+}
+
+/// Whether a request fails: a retry may do harm.
+pub fn is_failed(actions: &[Action], id: u32) -> bool {
+    actions.contains(&Action::Fail {
+        request: RequestId(id),
+    })
+}
--- a/tests/common/random_events.rs
+++ b/tests/common/random_events.rs
@@ -79,7 +79,7 @@
             }
         }
         if self.rng.random_bool(0.05) {
-            events.push(ended(
+            events.push(attempt_ended(
                 self.rng.random_range(0..9_999_999),
                 3,
                 Outcome::Completed,
@@ -102,10 +102,10 @@
             }
         }
         if kind == EndpointListKind::Error {
-            return list(kind, vec![]);
+            return endpoints_updated(kind, vec![]);
         }
         self.model.update_endpoints(kind, &entries);
-        list(kind, entries)
+        endpoints_updated(kind, entries)
     }
 
     fn entry(&mut self, k: u64) -> ReplicaEntry {
@@ -181,8 +181,8 @@
             // a second outcome, or a first token after it: the first outcome counts
             if self.repeat_outcomes && self.rng.random_bool(0.05) {
                 let other = REPEATED_OUTCOMES[self.rng.random_range(0..REPEATED_OUTCOMES.len())];
-                events.push(ended(id, index as u32, other, answered));
-                events.push(first(id, index as u32, 1000));
+                events.push(attempt_ended(id, index as u32, other, answered));
+                events.push(first_token(id, index as u32, 1000));
             }
             return;
         }
@@ -192,7 +192,7 @@
             if !attempt.streaming && !answered && self.rng.random_bool(0.6) {
                 attempt.streaming = true;
                 let elapsed = (now - attempt.sent).as_micros();
-                events.push(first(id, index as u32, elapsed));
+                events.push(first_token(id, index as u32, elapsed));
             } else {
                 events.push(self.end_attempt(id, index, false));
             }
@@ -223,6 +223,6 @@
         };
         request.attempts[index].outcome = Some(outcome);
         request.answered |= outcome == Outcome::Completed || streaming;
-        ended(id, index as u32, outcome, request.answered)
+        attempt_ended(id, index as u32, outcome, request.answered)
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -15,32 +15,22 @@
 fn new_gateway_sends_by_load_reports() {
     let mut to = Vec::new();
     for seed in 0..40 {
-        let balancer = stilespan::Balancer::new(health_check_settings(), seed, START);
-        let mut gateway = Gateway {
-            balancer,
-            now: START,
-        };
-        gateway.step(
-            0,
-            vec![list(
-                EndpointListKind::Persisted,
-                (0..6).map(entry).collect(),
-            )],
-        );
+        let mut gateway =
+            Gateway::seeded(health_check_settings(), seed, (0..6).map(entry).collect());
         for id in 1..=4 {
-            let mut actions = gateway.ask(100_000, arrival(id));
+            let mut actions = gateway.submit(100_000, arrival(id));
             let mut checks = 0;
             for _ in 0..100 {
-                checks += probes(&actions).len();
-                let answers = probes(&actions).into_iter().filter_map(|k| match k {
-                    0 => Some(told(
+                checks += health_checks(&actions).len();
+                let answers = health_checks(&actions).into_iter().filter_map(|k| match k {
+                    0 => Some(health_check_ended(
                         k,
                         Outcome::Completed,
                         Some(load_report(0.0, 0.5, 0.6)),
                     )),
                     1 => None,
-                    2 => Some(told(k, Outcome::ConnectFailed, None)),
-                    _ => Some(told(
+                    2 => Some(health_check_ended(k, Outcome::ConnectFailed, None)),
+                    _ => Some(health_check_ended(
                         k,
                         Outcome::Completed,
                         Some(load_report(0.0, 4.0, 0.1)),
@@ -53,7 +43,10 @@
             assert!(checks <= 6, "{checks} health checks for one request");
             gateway.step(
                 2_000,
-                vec![first(id, 0, 50_000), ended(id, 0, Outcome::Completed, true)],
+                vec![
+                    first_token(id, 0, 50_000),
+                    attempt_ended(id, 0, Outcome::Completed, true),
+                ],
             );
         }
     }
@@ -69,24 +62,17 @@
 fn sent_to_silent(silent: u64, replicas: u64) -> usize {
     let mut to_silent = 0;
     for seed in 0..200 {
-        let balancer = stilespan::Balancer::new(health_check_settings(), seed, START);
-        let mut gateway = Gateway {
-            balancer,
-            now: START,
-        };
-        gateway.step(
-            0,
-            vec![list(
-                EndpointListKind::Persisted,
-                (0..replicas).map(entry).collect(),
-            )],
+        let mut gateway = Gateway::seeded(
+            health_check_settings(),
+            seed,
+            (0..replicas).map(entry).collect(),
         );
-        let mut actions = gateway.ask(1_000, arrival(1));
+        let mut actions = gateway.submit(1_000, arrival(1));
         for _ in 0..100 {
             to_silent += sends(&actions).iter().filter(|s| s.1 < silent).count();
             let report = Some(load_report(0.0, 4.0, 0.1));
-            let answers = probes(&actions).into_iter().filter(|&k| k >= silent);
-            let answers = answers.map(|k| told(k, Outcome::Completed, report));
+            let answers = health_checks(&actions).into_iter().filter(|&k| k >= silent);
+            let answers = answers.map(|k| health_check_ended(k, Outcome::Completed, report));
             let events = answers.chain([Event::TimerFired { timer_id: 0 }]).collect();
             actions = gateway.step(2_000, events);
         }
@@ -112,28 +98,21 @@
 /// it.
 #[test]
 fn failed_health_check_is_not_repeated() {
-    let mut gateway = Gateway {
-        balancer: stilespan::Balancer::new(health_check_settings(), 1, START),
-        now: START,
-    };
-    gateway.step(
-        0,
-        vec![list(
-            EndpointListKind::Persisted,
-            (0..3).map(entry).collect(),
-        )],
-    );
-    assert_eq!(probes(&gateway.ask(1_000, arrival(1))).len(), 3);
+    let mut gateway = Gateway::seeded(health_check_settings(), 1, (0..3).map(entry).collect());
+    assert_eq!(health_checks(&gateway.submit(1_000, arrival(1))).len(), 3);
     let report = Some(load_report(0.0, 4.0, 0.1));
     let events = vec![
-        told(0, Outcome::Completed, report),
-        told(1, Outcome::Completed, report),
-        told(2, Outcome::ConnectFailed, None),
+        health_check_ended(0, Outcome::Completed, report),
+        health_check_ended(1, Outcome::Completed, report),
+        health_check_ended(2, Outcome::ConnectFailed, None),
     ];
     gateway.step(2_000, events);
     for id in 2..6 {
-        let actions = gateway.ask(2_000, arrival(id));
-        assert!(!probes(&actions).contains(&2), "request {id}: {actions:?}");
+        let actions = gateway.submit(2_000, arrival(id));
+        assert!(
+            !health_checks(&actions).contains(&2),
+            "request {id}: {actions:?}"
+        );
     }
 }
 
@@ -144,18 +123,9 @@
     let entries: Vec<ReplicaEntry> = (0..40).map(entry).collect();
     let mut to = [0; 40];
     for seed in 0..400 {
-        let balancer = stilespan::Balancer::new(slow_start_settings(), seed, START);
-        let mut gateway = Gateway {
-            balancer,
-            now: START,
-        };
-        gateway.step(0, vec![list(EndpointListKind::Persisted, entries.clone())]);
-        let ask = Arrival {
-            prefix: Some(7),
-            shared_prefix_tokens: 300,
-            ..arrival(1)
-        };
-        for (_, k) in sends(&gateway.ask(1_000, ask)) {
+        let mut gateway = Gateway::seeded(slow_start_settings(), seed, entries.clone());
+        let request = arrival(1).with_prefix(7).with_shared_prefix_tokens(300);
+        for (_, k) in sends(&gateway.submit(1_000, request)) {
             to[k as usize] += 1;
         }
     }
@@ -179,26 +149,12 @@
         first_token_objective: Span::from_secs(3),
         ..set.classes[0].clone()
     });
-    let mut gateway = Gateway {
-        balancer: stilespan::Balancer::new(set, 1, START),
-        now: START,
-    };
-    let far = ReplicaEntry {
-        zone: 1,
-        ..entry(1)
-    };
-    gateway.step(
-        0,
-        vec![list(EndpointListKind::Persisted, vec![entry(0), far])],
-    );
+    let far = entry(1).with_zone(1);
+    let mut gateway = Gateway::seeded(set, 1, vec![entry(0), far]);
     let mut sent = Vec::new();
-    let mut actions = gateway.ask(
+    let mut actions = gateway.submit(
         1_000,
-        Arrival {
-            class,
-            prompt_tokens: 2_000,
-            ..arrival(1)
-        },
+        arrival(1).with_class(class).with_prompt_tokens(2_000),
     );
     for _ in 0..100 {
         sent.extend(sends(&actions).iter().map(|s| s.1));
@@ -209,9 +165,9 @@
                 load_report(0.0, 4.0, 0.1)
             }
         };
-        let answers = probes(&actions)
+        let answers = health_checks(&actions)
             .into_iter()
-            .map(|k| told(k, Outcome::Completed, Some(report(k))));
+            .map(|k| health_check_ended(k, Outcome::Completed, Some(report(k))));
         let events = answers.chain([Event::TimerFired { timer_id: 0 }]).collect();
         actions = gateway.step(2_000, events);
     }
@@ -233,7 +189,7 @@
             now: START,
         })
         .collect();
-    let failed = || vec![list(EndpointListKind::Error, Vec::new())];
+    let failed = || vec![endpoints_updated(EndpointListKind::Error, Vec::new())];
     gateways.iter_mut().for_each(|g| drop(g.step(0, failed())));
     // calls in each 100 ms; every one fails at once
     let mut calls = [0; 200];
--- a/tests/fleet_scaling.rs
+++ b/tests/fleet_scaling.rs
@@ -34,18 +34,7 @@
 impl Measured {
     fn new(servers: u64) -> Measured {
         let before = live_bytes();
-        let balancer = stilespan::Balancer::new(slow_start_settings(), 1, START);
-        let mut gateway = Gateway {
-            balancer,
-            now: START,
-        };
-        gateway.step(
-            0,
-            vec![list(
-                EndpointListKind::Persisted,
-                (0..servers).map(entry).collect(),
-            )],
-        );
+        let gateway = Gateway::seeded(slow_start_settings(), 1, (0..servers).map(entry).collect());
         Measured {
             gateway,
             servers,
@@ -64,13 +53,13 @@
         let (before, mut sent) = (allocated_bytes(), 0);
         for _ in 0..REQUESTS {
             self.requests += 1;
-            let request = Arrival {
-                session: Some(u64::from(self.requests % 50)),
-                ..arrival(self.requests)
-            };
-            for (id, _) in sends(&self.gateway.ask(10_000, request)) {
+            let request = arrival(self.requests).with_session(u64::from(self.requests % 50));
+            for (id, _) in sends(&self.gateway.submit(10_000, request)) {
                 sent += 1;
-                let answer = vec![first(id, 0, 50_000), ended(id, 0, Outcome::Completed, true)];
+                let answer = vec![
+                    first_token(id, 0, 50_000),
+                    attempt_ended(id, 0, Outcome::Completed, true),
+                ];
                 self.gateway.step(1_000, answer);
             }
         }
@@ -83,23 +72,22 @@
         let (id, mut max) = (|n: u64, of: u64| ReplicaId(of * 1_000_000 + n), 0);
         let all: Vec<u64> = (0..self.servers).collect();
         for part in all.chunks(self.servers as usize / 20) {
-            let removed = |&n: &u64| ReplicaEntry {
-                replica: id(n, generation - 1),
-                state: EndpointState::Removed,
-                ..entry(n)
-            };
-            let new = |&n: &u64| ReplicaEntry {
-                replica: id(n, generation),
-                ..entry(n)
+            let removed = |&n: &u64| {
+                entry(n)
+                    .with_replica(id(n, generation - 1))
+                    .with_state(EndpointState::Removed)
             };
+            let new = |&n: &u64| entry(n).with_replica(id(n, generation));
             let entries = part
                 .iter()
                 .map(removed)
                 .chain(part.iter().map(new))
                 .collect();
             let before = allocated_bytes();
-            self.gateway
-                .step(300_000, vec![list(EndpointListKind::Partial, entries)]);
+            self.gateway.step(
+                300_000,
+                vec![endpoints_updated(EndpointListKind::Partial, entries)],
+            );
             max = max.max(allocated_bytes() - before);
         }
         max
--- a/tests/invalid_settings.rs
+++ b/tests/invalid_settings.rs
@@ -7,12 +7,12 @@
 use std::path::Path;
 
 use common::peers::config_text;
-use common::{arrival, ended, entry, first, list};
+use common::{ArrivalBuilder, arrival, attempt_ended, endpoints_updated, entry, first_token};
 use rstest::rstest;
 use serde_json::{Value, json};
 use stilespan::Balancer;
 use stilespan::config::Config;
-use stilespan::interface::{Arrival, EndpointListKind, Event, Outcome, Span, Timestamp};
+use stilespan::interface::{EndpointListKind, Event, Outcome, Span, Timestamp};
 
 /// The JSON pointers of all values that contain no others.
 fn leaves(value: &Value, at: String, all: &mut Vec<String>) {
@@ -36,7 +36,7 @@
     let mut now = start;
     let classes = config.settings.classes.len() as u32;
     let steps: Vec<Vec<Event>> = vec![
-        vec![list(
+        vec![endpoints_updated(
             EndpointListKind::Persisted,
             (0..3).map(entry).collect(),
         )],
@@ -44,29 +44,29 @@
             .map(|n| {
                 let class = n % (classes + 1);
                 let valid_until = Timestamp::from_micros(start.as_micros() + 2_000_000);
-                Event::RequestReceived(Arrival {
-                    class,
-                    expires_at: valid_until,
-                    prompt_tokens: n * 100_000,
-                    ..arrival(n)
-                })
+                Event::RequestReceived(
+                    arrival(n)
+                        .with_class(class)
+                        .with_expires_at(valid_until)
+                        .with_prompt_tokens(n * 100_000),
+                )
             })
             .collect(),
         (0..9)
             .map(|n| {
                 if n % 2 == 0 {
-                    first(n, 0, 30_000)
+                    first_token(n, 0, 30_000)
                 } else {
-                    ended(n, 0, Outcome::ConnectionReset, false)
+                    attempt_ended(n, 0, Outcome::ConnectionReset, false)
                 }
             })
             .collect(),
         vec![
-            list(EndpointListKind::Error, Vec::new()),
-            list(EndpointListKind::Partial, vec![entry(7)]),
+            endpoints_updated(EndpointListKind::Error, Vec::new()),
+            endpoints_updated(EndpointListKind::Partial, vec![entry(7)]),
         ],
         (0..9)
-            .map(|n| ended(n, 0, Outcome::Completed, true))
+            .map(|n| attempt_ended(n, 0, Outcome::Completed, true))
             .collect(),
         Vec::new(),
     ];
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -19,7 +19,10 @@
 
 fn gateway(entries: Vec<ReplicaEntry>) -> Gateway {
     let mut gateway = Gateway::new(settings(), 0);
-    gateway.step(0, vec![list(EndpointListKind::Complete, entries)]);
+    gateway.step(
+        0,
+        vec![endpoints_updated(EndpointListKind::Complete, entries)],
+    );
     gateway
 }
 
@@ -39,16 +42,19 @@
     );
     let mut to = Vec::new();
     for id in 1..=20 {
-        to.extend(sends(&gateway.ask(60_000, of(1, id))));
+        to.extend(sends(&gateway.submit(60_000, of(1, id))));
         gateway.step(
             1_000,
-            vec![first(id, 0, 1_000), ended(id, 0, Outcome::Completed, true)],
+            vec![
+                first_token(id, 0, 1_000),
+                attempt_ended(id, 0, Outcome::Completed, true),
+            ],
         );
     }
     assert_eq!(to.len(), 20);
     assert!(to.iter().all(|s| s.1 != 23), "{to:?}");
     // one replica in 40 has it: draws that miss it are made up for in later steps
-    let mut actions = gateway.ask(2_000, of(2, 50));
+    let mut actions = gateway.submit(2_000, of(2, 50));
     for _ in 0..40 {
         actions.extend(gateway.step(5_000, vec![Event::TimerFired { timer_id: 0 }]));
     }
@@ -63,8 +69,8 @@
         prompt_tokens: 6_000,
         ..of(1, 1)
     };
-    assert_eq!(sends(&gateway.ask(2_000, long)), [(1, 0)]);
-    assert_eq!(sends(&gateway.ask(2_000, of(2, 2))), [(2, 1)]);
+    assert_eq!(sends(&gateway.submit(2_000, long)), [(1, 0)]);
+    assert_eq!(sends(&gateway.submit(2_000, of(2, 2))), [(2, 1)]);
 }
 
 #[rstest]
@@ -74,21 +80,24 @@
     let mut gateway = gateway(vec![serving(0, &[(1, 0), (2, 0)])]);
     if held == 1 {
         // a long prompt keeps the only replica from maturing
-        gateway.ask(
+        gateway.submit(
             2_000,
             Arrival {
                 prompt_tokens: 6_000,
                 ..of(1, 1)
             },
         );
-        assert!(gateway.ask(2_000, of(2, 2)).is_empty());
+        assert!(gateway.submit(2_000, of(2, 2)).is_empty());
         let actions = gateway.step(
             2_000,
-            vec![list(EndpointListKind::Partial, vec![serving(0, &[(1, 0)])])],
+            vec![endpoints_updated(
+                EndpointListKind::Partial,
+                vec![serving(0, &[(1, 0)])],
+            )],
         );
-        assert!(refused(&actions, 2), "{actions:?}");
+        assert!(is_rejected(&actions, 2), "{actions:?}");
     } else {
-        assert!(refused(&gateway.ask(2_000, of(3, 2)), 2));
+        assert!(is_rejected(&gateway.submit(2_000, of(3, 2)), 2));
     }
 }
 
@@ -96,22 +105,25 @@
 fn a_model_that_is_loaded_goes_ahead_of_one_that_must_be() {
     let mut gateway = gateway(vec![serving(0, &[(1, 300_000)]), serving(1, &[(1, 0)])]);
     for id in 1..=10 {
-        assert_eq!(sends(&gateway.ask(100_000, of(1, id))), [(id, 1)]);
+        assert_eq!(sends(&gateway.submit(100_000, of(1, id))), [(id, 1)]);
         gateway.step(
             1_000,
-            vec![first(id, 0, 1_000), ended(id, 0, Outcome::Completed, true)],
+            vec![
+                first_token(id, 0, 1_000),
+                attempt_ended(id, 0, Outcome::Completed, true),
+            ],
         );
     }
     // a load beyond the aim is not begun at all
     let mut gateway = Gateway::new(settings(), 0);
     gateway.step(
         0,
-        vec![list(
+        vec![endpoints_updated(
             EndpointListKind::Complete,
             vec![serving(0, &[(1, 3_000_000)])],
         )],
     );
-    assert!(sends(&gateway.ask(2_000, of(1, 1))).is_empty());
+    assert!(sends(&gateway.submit(2_000, of(1, 1))).is_empty());
 }
 
 #[test]
@@ -119,22 +131,22 @@
     let mut gateway = gateway(vec![serving(0, &[(1, 0)]), serving(1, &[(1, 0)])]);
     let mut arrival = of(1, 1);
     arrival.prior_attempts = 2;
-    assert_eq!(sends(&gateway.ask(2_000, arrival)).len(), 1);
-    let actions = gateway.step(2_000, vec![ended(1, 0, Outcome::Error, false)]);
+    assert_eq!(sends(&gateway.submit(2_000, arrival)).len(), 1);
+    let actions = gateway.step(2_000, vec![attempt_ended(1, 0, Outcome::Error, false)]);
     assert!(
-        refused(&actions, 1) && sends(&actions).is_empty(),
+        is_rejected(&actions, 1) && sends(&actions).is_empty(),
         "{actions:?}"
     );
     let spent = Arrival {
         prior_attempts: 3,
         ..of(1, 2)
     };
-    let mut actions = gateway.ask(500_000, spent);
+    let mut actions = gateway.submit(500_000, spent);
     for _ in 0..60 {
         actions.extend(gateway.step(100_000, vec![Event::TimerFired { timer_id: 0 }]));
     }
     assert!(
-        sends(&actions).is_empty() && refused(&actions, 2),
+        sends(&actions).is_empty() && is_rejected(&actions, 2),
         "{actions:?}"
     );
 }
@@ -154,7 +166,7 @@
                 prompt_tokens: 900,
                 ..of(1, 1)
             };
-            let to = sends(&gateway.ask(2_000, asked));
+            let to = sends(&gateway.submit(2_000, asked));
             assert_eq!(to[0].1 % 2, 0, "{to:?}");
             homes.push(to);
         }
--- a/tests/replica_weights.rs
+++ b/tests/replica_weights.rs
@@ -12,12 +12,7 @@
 #[test]
 fn new_gateways_send_by_size() {
     let size = |k: u64| if k < 40 { 1.0 } else { 18.0 };
-    let entries: Vec<ReplicaEntry> = (0..60)
-        .map(|k| ReplicaEntry {
-            weight: size(k),
-            ..entry(k)
-        })
-        .collect();
+    let entries: Vec<ReplicaEntry> = (0..60).map(|k| entry(k).with_weight(size(k))).collect();
     let mut fleet = Fleet::new(
         &Settings {
             router_count: GATEWAYS,
@@ -55,37 +50,21 @@
         router_count: GATEWAYS,
         ..health_check_settings()
     };
-    let entries = |k| ReplicaEntry {
-        weight: if k < 20 { 4.0 } else { 8.0 },
-        ..entry(k)
-    };
+    let entries = |k| entry(k).with_weight(if k < 20 { 4.0 } else { 8.0 });
     let mut to_large = [0, 0];
     for seed in 0..100 {
         for class in [0, 1] {
-            let balancer = stilespan::Balancer::new(set.clone(), seed, START);
-            let mut gateway = Gateway {
-                balancer,
-                now: START,
-            };
-            gateway.step(
-                0,
-                vec![list(
-                    EndpointListKind::Persisted,
-                    (0..40).map(entries).collect(),
-                )],
-            );
-            let ask = Arrival {
-                class,
-                expires_at: START + Span::from_secs(80),
-                ..arrival(1)
-            };
-            let mut actions = gateway.step(0, vec![Event::RequestReceived(ask)]);
+            let mut gateway = Gateway::seeded(set.clone(), seed, (0..40).map(entries).collect());
+            let request = arrival(1)
+                .with_class(class)
+                .with_expires_at(START + Span::from_secs(80));
+            let mut actions = gateway.step(0, vec![Event::RequestReceived(request)]);
             for _ in 0..50 {
                 let sent = sends(&actions).into_iter().filter(|s| s.1 >= 20).count();
                 to_large[class as usize] += sent;
-                let answers = probes(&actions)
-                    .into_iter()
-                    .map(|k| told(k, Outcome::Completed, Some(load_report(0.0, 4.0, 0.1))));
+                let answers = health_checks(&actions).into_iter().map(|k| {
+                    health_check_ended(k, Outcome::Completed, Some(load_report(0.0, 4.0, 0.1)))
+                });
                 actions = gateway.step(
                     2_000,
                     answers.chain([Event::TimerFired { timer_id: 0 }]).collect(),
--- a/tests/session_affinity.rs
+++ b/tests/session_affinity.rs
@@ -19,18 +19,13 @@
 /// A turn of a session; for 0 a request without a session and a shared prefix.
 fn turn(request: u32, session: u64, prompt: u32) -> Arrival {
     if session == 0 {
-        return Arrival {
-            prompt_tokens: prompt,
-            ..arrival(request)
-        };
-    }
-    Arrival {
-        session: Some(session),
-        prefix: Some(7),
-        shared_prefix_tokens: SHARED_PREFIX,
-        prompt_tokens: prompt,
-        ..arrival(request)
+        return arrival(request).with_prompt_tokens(prompt);
     }
+    arrival(request)
+        .with_session(session)
+        .with_prefix(7)
+        .with_shared_prefix_tokens(SHARED_PREFIX)
+        .with_prompt_tokens(prompt)
 }
 
 /// A gateway and servers that cache prompts, unless `forget` has them evict each at once.
@@ -52,15 +47,15 @@
     }
 
     /// What happened to a turn within its objective: sent to a server, rejected, or neither.
-    fn ask(&mut self, session: u64, prompt: u32) -> (Option<u64>, bool) {
+    fn submit(&mut self, session: u64, prompt: u32) -> (Option<u64>, bool) {
         self.last += 1;
         let id = self.last;
-        let mut actions = self.gateway.ask(10_000, turn(id, session, prompt));
+        let mut actions = self.gateway.submit(10_000, turn(id, session, prompt));
         for _ in 0..100 {
             if let Some(&(_, to)) = sends(&actions).iter().find(|s| s.0 == id) {
                 return (Some(to), false);
             }
-            if refused(&actions, id) {
+            if is_rejected(&actions, id) {
                 return (None, true);
             }
             actions = self
@@ -72,7 +67,7 @@
 
     /// A turn with a complete answer: its server.
     fn complete_turn(&mut self, session: u64, prompt: u32) -> Option<u64> {
-        let (to, _) = self.ask(session, prompt);
+        let (to, _) = self.submit(session, prompt);
         let (to, id) = (to?, self.last);
         let cached_tokens = self
             .cached_tokens
@@ -84,7 +79,8 @@
             self.cached_tokens.insert((to, session), prompt);
         }
         let elapsed = 20_000 + PREFILL_US * u64::from(prompt - cached_tokens);
-        self.gateway.step(elapsed, vec![first(id, 0, elapsed)]);
+        self.gateway
+            .step(elapsed, vec![first_token(id, 0, elapsed)]);
         self.end(Outcome::Completed, 100_000, Some(cached_tokens));
         Some(to)
     }
@@ -124,10 +120,10 @@
     let mut fleet = CachingFleet::new(4);
     let at = fleet.warm_up(3);
     assert!(at.is_some());
-    assert_eq!(fleet.ask(1, 15_000), (at, false));
+    assert_eq!(fleet.submit(1, 15_000), (at, false));
     fleet.end(Outcome::Timeout, 1_000_000, None);
     // its client retries within its timeout
-    assert_eq!(fleet.ask(1, 15_000), (at, false));
+    assert_eq!(fleet.submit(1, 15_000), (at, false));
 }
 
 /// The prefill model is fitted to the tokens that were not cached, not to the estimate of them. A
@@ -145,8 +141,8 @@
             "turn {n}"
         );
     }
-    assert_eq!(fleet.ask(0, 60_000), (None, true));
-    assert_eq!(fleet.ask(0, 20_000).0, Some(0));
+    assert_eq!(fleet.submit(0, 60_000), (None, true));
+    assert_eq!(fleet.submit(0, 20_000).0, Some(0));
 }
 
 /// A session whose server answers late does not migrate where the prefill takes a large part of its
@@ -158,17 +154,15 @@
     let at = fleet.warm_up(6).expect("a server");
     // a turn there gets no first token, long after it was expected: no further request is sent
     // there
-    assert_eq!(fleet.ask(1, 15_000).0, Some(at));
+    assert_eq!(fleet.submit(1, 15_000).0, Some(at));
     fleet
         .gateway
         .step(500_000, vec![Event::TimerFired { timer_id: 0 }]);
-    assert_eq!(fleet.ask(1, 15_000), (None, true));
-    let draining = ReplicaEntry {
-        state: EndpointState::Draining,
-        ..entry(at)
-    };
-    fleet
-        .gateway
-        .step(1_000, vec![list(EndpointListKind::Partial, vec![draining])]);
-    assert!(fleet.ask(1, 15_000).0.is_some_and(|to| to != at));
+    assert_eq!(fleet.submit(1, 15_000), (None, true));
+    let draining = entry(at).with_state(EndpointState::Draining);
+    fleet.gateway.step(
+        1_000,
+        vec![endpoints_updated(EndpointListKind::Partial, vec![draining])],
+    );
+    assert!(fleet.submit(1, 15_000).0.is_some_and(|to| to != at));
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -9,10 +9,7 @@
 use stilespan::interface::*;
 
 fn warming(replica: u64) -> ReplicaEntry {
-    ReplicaEntry {
-        started_at: START,
-        ..entry(replica)
-    }
+    entry(replica).with_started_at(START)
 }
 
 /// A hundred gateways with a request a second each: a warming replica gets its part of them at
@@ -58,11 +55,7 @@
         let mut fleet = Fleet::new(&set, &entries);
         fleet.gateways.clear();
         for seed in seeds..seeds + processes {
-            let mut gateway = Gateway {
-                balancer: stilespan::Balancer::new(set.clone(), seed, START),
-                now: START,
-            };
-            gateway.step(0, vec![list(EndpointListKind::Persisted, entries.clone())]);
+            let gateway = Gateway::seeded(set.clone(), seed, entries.clone());
             fleet.gateways.push(gateway);
         }
         // a hundred requests a second in all, for three seconds
--- a/tests/slow_start_sums.rs
+++ b/tests/slow_start_sums.rs
@@ -142,10 +142,7 @@
             if k < WARM {
                 entry(k)
             } else {
-                ReplicaEntry {
-                    started_at: START,
-                    ..entry(k)
-                }
+                entry(k).with_started_at(START)
             }
         })
         .collect();
@@ -156,11 +153,9 @@
         let (process, prompt) = traffic.draw(&mut rng, set.router_count);
         fleet.settle(now);
         fleet.last_request += 1;
-        let request = Arrival {
-            expires_at: now + OBJECTIVE,
-            prompt_tokens: prompt,
-            ..arrival(fleet.last_request)
-        };
+        let request = arrival(fleet.last_request)
+            .with_expires_at(now + OBJECTIVE)
+            .with_prompt_tokens(prompt);
         fleet.step(process, now, vec![Event::RequestReceived(request)]);
         if n % (rate / 20) == 0 {
             (0..fleet.gateways.len())
