--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -20,6 +20,7 @@
 pub mod responses;
 pub mod router;
 pub mod rule_model;
+pub mod running_core;
 pub mod scripted_core;
 pub mod scripted_peer;
 pub mod wait;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -4,12 +4,11 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
+use common::running_core::update_endpoints;
 use common::scripted_core::*;
 use rstest::rstest;
 use stilespan::core::actor::{Core, CoreOptions};
-use stilespan::core::{
-    EndpointsUpdate, MAILBOX_CAPACITY, MaintenanceAction, Message, UpstreamCommand,
-};
+use stilespan::core::{MAILBOX_CAPACITY, MaintenanceAction, Message, UpstreamCommand};
 use stilespan::interface::{
     Class, EndpointListKind, EndpointState, ReplicaId, RequestId, Settings, Span,
 };
@@ -24,14 +23,12 @@
         ScriptedConnector(OpenedUpstreams::default()),
         discovery,
     ));
-    let listed = EndpointsUpdate {
-        kind: EndpointListKind::Persisted,
-        endpoints: vec![endpoint(1, "127.0.0.1:1", 0)],
-    };
-    messages
-        .send(Message::EndpointsUpdated(listed))
-        .await
-        .unwrap();
+    update_endpoints(
+        &messages,
+        EndpointListKind::Persisted,
+        vec![endpoint(1, "127.0.0.1:1", 0)],
+    )
+    .await;
     while !handle.load().is_ready() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
@@ -84,13 +81,7 @@
         (EndpointListKind::Partial, started),
     ] {
         let endpoints = vec![endpoint(1, "127.0.0.1:1", started)];
-        messages
-            .send(Message::EndpointsUpdated(EndpointsUpdate {
-                kind,
-                endpoints,
-            }))
-            .await
-            .unwrap();
+        update_endpoints(&messages, kind, endpoints).await;
     }
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut opened = std::mem::take(&mut *opened.lock().unwrap());
@@ -119,13 +110,7 @@
         (EndpointListKind::Persisted, endpoint(1, "127.0.0.1:1", 0)),
         (EndpointListKind::Partial, endpoint(2, address, started)),
     ] {
-        messages
-            .send(Message::EndpointsUpdated(EndpointsUpdate {
-                kind,
-                endpoints: vec![endpoint],
-            }))
-            .await
-            .unwrap();
+        update_endpoints(&messages, kind, vec![endpoint]).await;
     }
     while opened.lock().unwrap().len() < 2 {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -176,24 +161,10 @@
         .unwrap()
         .as_micros() as u64;
     let mut old = endpoint(1, "127.0.0.1:1", 0);
-    let list = EndpointsUpdate {
-        kind: EndpointListKind::Complete,
-        endpoints: vec![old.clone()],
-    };
-    messages
-        .send(Message::EndpointsUpdated(list))
-        .await
-        .unwrap();
+    update_endpoints(&messages, EndpointListKind::Complete, vec![old.clone()]).await;
     old.entry.state = EndpointState::Removed;
     let joined = endpoint(2, "127.0.0.1:2", now.saturating_add_signed(ahead));
-    let change = EndpointsUpdate {
-        kind: EndpointListKind::Partial,
-        endpoints: vec![old, joined],
-    };
-    messages
-        .send(Message::EndpointsUpdated(change))
-        .await
-        .unwrap();
+    update_endpoints(&messages, EndpointListKind::Partial, vec![old, joined]).await;
     sleep(Duration::from_millis(150)).await;
     let mut pending = Vec::new();
     for _ in 0..8 {
--- a/tests/core_races/endpoints.rs
+++ b/tests/core_races/endpoints.rs
@@ -7,6 +7,7 @@
 use stilespan::interface::{Class, EndpointListKind, EndpointState, Outcome};
 use tokio::time::{Duration, sleep, timeout};
 
+use crate::common::running_core::TIMEOUT;
 use crate::common::scripted_core::*;
 use crate::harness::*;
 
--- a/tests/core_races/outcomes.rs
+++ b/tests/core_races/outcomes.rs
@@ -7,6 +7,7 @@
 use stilespan::interface::{Class, Idempotency, Outcome, Span};
 use tokio::time::{Duration, timeout};
 
+use crate::common::running_core::TIMEOUT;
 use crate::common::scripted_core::*;
 use crate::harness::*;
 
--- a/tests/stalls.rs
+++ b/tests/stalls.rs
@@ -5,103 +5,55 @@
 
 use std::time::Instant;
 
+use common::running_core::{self, RunningCore};
 use common::scripted_core::*;
-use stilespan::core::actor::{Core, CoreOptions};
-use stilespan::core::{DiscoveryCommand, EndpointsUpdate, Message, UpstreamCommand};
-use stilespan::interface::{Class, EndpointListKind, EndpointState, ReplicaId, Settings};
-use tokio::sync::mpsc;
-use tokio::time::{Duration, sleep, timeout};
+use stilespan::core::DiscoveryCommand;
+use stilespan::interface::{Class, EndpointListKind, EndpointState, Settings};
+use tokio::time::{Duration, sleep};
 
-/// A core with two endpoints, its mailbox, the commands to discovery and those to the upstreams.
-async fn start_core() -> (
-    stilespan::core::CoreHandle,
-    mpsc::Sender<Message>,
-    mpsc::Receiver<DiscoveryCommand>,
-    OpenedUpstreams,
-) {
-    let opened = OpenedUpstreams::default();
-    let (discovery, discovery_commands) = mpsc::channel(4);
+/// How long an attempt may wait for its connection.
+const ATTEMPT_START_TIMEOUT: Duration = Duration::from_millis(350);
+
+/// A core with two endpoints.
+async fn start_core() -> RunningCore {
     let settings = Settings {
         classes: vec![Class::default()],
         ..Settings::default()
     };
-    let (handle, messages) = Core::start(CoreOptions {
-        settings,
-        ..core_options(ScriptedConnector(opened.clone()), discovery)
-    });
-    let endpoints = vec![endpoint(1, "127.0.0.1:1", 0), endpoint(2, "127.0.0.1:2", 0)];
-    messages
-        .send(Message::EndpointsUpdated(EndpointsUpdate {
-            kind: EndpointListKind::Complete,
-            endpoints,
-        }))
-        .await
-        .unwrap();
-    while opened.lock().unwrap().len() < 2 {
-        sleep(Duration::from_millis(1)).await;
-    }
-    (handle, messages, discovery_commands, opened)
-}
-
-/// The next command to the discovery actor.
-async fn next_command(
-    discovery_commands: &mut mpsc::Receiver<DiscoveryCommand>,
-) -> Option<DiscoveryCommand> {
-    timeout(Duration::from_secs(5), discovery_commands.recv())
-        .await
-        .expect("a command for the discovery actor")
-}
-
-/// Attempts that each upstream was commanded so far.
-fn sent(opened: &OpenedUpstreams) -> Vec<(ReplicaId, usize)> {
-    let mut opened = opened.lock().unwrap();
-    let attempts = |commands: &mut mpsc::Receiver<UpstreamCommand>| {
-        std::iter::from_fn(|| commands.try_recv().ok())
-            .filter(|o| matches!(o, UpstreamCommand::StartAttempt(_)))
-            .count()
-    };
-    opened
-        .iter_mut()
-        .map(|(replica, commands)| (*replica, attempts(commands)))
-        .collect()
+    running_core::start_core(settings, ATTEMPT_START_TIMEOUT, 2).await
 }
 
 /// Requests that waited while the process was suspended are not sent before the endpoint list is
 /// refreshed, and then not to the server that was drained meanwhile.
 #[tokio::test]
 async fn requests_wait_for_refreshed_endpoints() {
-    let (handle, messages, mut discovery_commands, opened) = start_core().await;
+    let mut core = start_core().await;
     let mut pending = Vec::new();
     std::thread::sleep(Duration::from_millis(700));
     for _ in 0..8 {
         pending.push(
-            handle
+            core.handle
                 .submit(core_request(5000))
                 .await
                 .expect("the core runs"),
         );
     }
     assert_eq!(
-        next_command(&mut discovery_commands).await,
+        core.next_discovery_command().await,
         Some(DiscoveryCommand::Refresh)
     );
     sleep(Duration::from_millis(50)).await;
     assert!(
-        sent(&opened).iter().all(|s| s.1 == 0),
+        core.started_attempts().iter().all(|s| s.1 == 0),
         "sent before the refresh"
     );
     let mut drained = endpoint(1, "127.0.0.1:1", 0);
     drained.entry.state = EndpointState::Draining;
     let endpoints = vec![drained, endpoint(2, "127.0.0.1:2", 0)];
-    messages
-        .send(Message::EndpointsUpdated(EndpointsUpdate {
-            kind: EndpointListKind::Complete,
-            endpoints,
-        }))
-        .await
-        .unwrap();
+    core.update_endpoints(EndpointListKind::Complete, endpoints)
+        .await;
     sleep(Duration::from_millis(100)).await;
-    let sent = sent(&opened);
+    let sent = core.started_attempts();
     assert!(sent[0].1 == 0 && sent[1].1 > 0, "{sent:?}");
 }
 
@@ -109,28 +61,23 @@
 #[tokio::test]
 async fn failed_refresh_ends_suspension() {
     for answered in [true, false] {
-        let (handle, messages, mut discovery_commands, opened) = start_core().await;
+        let mut core = start_core().await;
         std::thread::sleep(Duration::from_millis(700));
-        let _pending = handle
+        let _pending = core
+            .handle
             .submit(core_request(5000))
             .await
             .expect("the core runs");
         assert_eq!(
-            next_command(&mut discovery_commands).await,
+            core.next_discovery_command().await,
             Some(DiscoveryCommand::Refresh)
         );
         if answered {
-            let failed = EndpointsUpdate {
-                kind: EndpointListKind::Error,
-                endpoints: Vec::new(),
-            };
-            messages
-                .send(Message::EndpointsUpdated(failed))
-                .await
-                .unwrap();
+            core.update_endpoints(EndpointListKind::Error, Vec::new())
+                .await;
         }
         let woke = Instant::now();
-        while sent(&opened).iter().all(|s| s.1 == 0) {
+        while core.started_attempts().iter().all(|s| s.1 == 0) {
             assert!(
                 woke.elapsed() < Duration::from_secs(5),
                 "answered: {answered}"
