--- a/tests/balancer/retries.rs
+++ b/tests/balancer/retries.rs
@@ -5,7 +5,7 @@
 use crate::common::*;
 
 #[test]
-fn unsafe_retry_needs_unrun_attempt() {
+fn non_idempotent_retry_needs_unrun_attempt() {
     let mut set = settings();
     set.classes[0].idempotency = Idempotency::NonIdempotent;
     for (outcome, again) in [
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -8,11 +8,26 @@
 /// Gateways in the fleets of these tests.
 pub const GATEWAYS: u32 = 100;
 
-/// Many gateways, and what they sent: when, from which gateway, and to which replica.
+/// An attempt that a gateway has started.
+#[derive(Clone, Copy, Debug)]
+pub struct SentAttempt {
+    pub at: Timestamp,
+    pub replica: u64,
+}
+
+/// A request that ends at a known time.
+#[derive(Clone, Copy, Debug)]
+struct InFlight {
+    ends_at: Timestamp,
+    gateway: usize,
+    request: u32,
+}
+
+/// Many gateways, and the attempts that they have started.
 pub struct Fleet {
     pub gateways: Vec<Gateway>,
-    pub in_flight: Vec<(Timestamp, usize, u32)>,
-    pub sent: Vec<(Timestamp, usize, u64)>,
+    in_flight: Vec<InFlight>,
+    pub sent: Vec<SentAttempt>,
     /// Requests that were rejected or have failed.
     pub rejected: usize,
     /// The id of the last request.
@@ -20,6 +35,7 @@
 }
 
 impl Fleet {
+    /// As many gateways as the settings say, with these entries in their persisted lists.
     pub fn new(settings: &Settings, entries: &[ReplicaEntry]) -> Fleet {
         Fleet::seeded(settings, entries, 0)
     }
@@ -56,18 +72,25 @@
         }
     }
 
+    /// Ends the requests in flight whose time has come.
     pub fn settle(&mut self, now: Timestamp) {
-        let (due, in_flight) = self.in_flight.iter().partition(|o| o.0 <= now);
+        let (due, in_flight) = self.in_flight.iter().partition(|o| o.ends_at <= now);
         self.in_flight = in_flight;
-        for (at, k, id) in due {
+        for InFlight {
+            ends_at,
+            gateway,
+            request,
+        } in due
+        {
             let events = vec![
-                first_token(id, 0, 50_000),
-                attempt_ended(id, 0, Outcome::Completed, true),
+                first_token(request, 0, 50_000),
+                attempt_ended(request, 0, Outcome::Completed, true),
             ];
-            self.step(k, at.max(self.gateways[k].now), events);
+            self.step(gateway, ends_at.max(self.gateways[gateway].now), events);
         }
     }
 
+    /// Passes events to a gateway and records what it does.
     pub fn step(&mut self, k: usize, now: Timestamp, events: Vec<Event>) {
         let after = now - self.gateways[k].now;
         for action in self.gateways[k].step(after.as_micros(), events) {
@@ -75,9 +98,15 @@
                 Action::StartAttempt {
                     request, replica, ..
                 } => {
-                    self.sent.push((now, k, replica.0));
-                    self.in_flight
-                        .push((now + Span::from_millis(250), k, request.0));
+                    self.sent.push(SentAttempt {
+                        at: now,
+                        replica: replica.0,
+                    });
+                    self.in_flight.push(InFlight {
+                        ends_at: now + Span::from_millis(250),
+                        gateway: k,
+                        request: request.0,
+                    });
                 }
                 Action::Reject { .. } | Action::Fail { .. } => self.rejected += 1,
                 _ => {}
@@ -88,9 +117,10 @@
     /// The maximum of sends to one replica within any window.
     pub fn max_sends(&self, window: Span, of: impl Fn(u64) -> bool) -> usize {
         let mut max = 0;
-        for &(at, _, to) in self.sent.iter().filter(|s| of(s.2)) {
-            let within =
-                |s: &&(Timestamp, usize, u64)| s.2 == to && s.0 >= at && s.0 - at <= window;
+        for first in self.sent.iter().filter(|sent| of(sent.replica)) {
+            let within = |sent: &&SentAttempt| {
+                sent.replica == first.replica && sent.at >= first.at && sent.at - first.at <= window
+            };
             max = max.max(self.sent.iter().filter(within).count());
         }
         max
@@ -123,6 +153,7 @@
     }
 }
 
+/// The replicas whose health these actions check.
 pub fn health_checks(actions: &[Action]) -> Vec<u64> {
     let probe = |a: &Action| match a {
         Action::CheckHealth { replica } => Some(replica.0),
@@ -131,6 +162,7 @@
     actions.iter().filter_map(probe).collect()
 }
 
+/// The end of a health check.
 pub fn health_check_ended(replica: u64, outcome: Outcome, report: Option<LoadReport>) -> Event {
     Event::HealthCheckEnded(HealthCheckEnded {
         replica: ReplicaId(replica),
--- a/tests/replica_weights.rs
+++ b/tests/replica_weights.rs
@@ -23,7 +23,7 @@
     for _ in 0..4 {
         fleet.round(Span::from_secs(1));
     }
-    let small = fleet.sent.iter().filter(|s| size(s.2) == 1.0).count();
+    let small = fleet.sent.iter().filter(|s| size(s.replica) == 1.0).count();
     let part = small as f64 / fleet.sent.len() as f64;
     assert!(
         fleet.sent.len() > 350 && part < 0.2,
--- a/tests/session_affinity.rs
+++ b/tests/session_affinity.rs
@@ -28,6 +28,14 @@
         .with_prompt_tokens(prompt)
 }
 
+/// What happened to a turn within its objective.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum TurnOutcome {
+    SentTo(u64),
+    Rejected,
+    Queued,
+}
+
 /// A gateway and servers that cache prompts, unless `forget` has them evict each at once.
 struct CachingFleet {
     gateway: Gateway,
@@ -46,29 +54,31 @@
         }
     }
 
-    /// What happened to a turn within its objective: sent to a server, rejected, or neither.
-    fn submit(&mut self, session: u64, prompt: u32) -> (Option<u64>, bool) {
+    /// Submits a turn and waits until it is sent or rejected, within its objective.
+    fn submit(&mut self, session: u64, prompt: u32) -> TurnOutcome {
         self.last += 1;
         let id = self.last;
         let mut actions = self.gateway.submit(10_000, turn(id, session, prompt));
         for _ in 0..100 {
             if let Some(&(_, to)) = sends(&actions).iter().find(|s| s.0 == id) {
-                return (Some(to), false);
+                return TurnOutcome::SentTo(to);
             }
             if is_rejected(&actions, id) {
-                return (None, true);
+                return TurnOutcome::Rejected;
             }
             actions = self
                 .gateway
                 .step(10_000, vec![Event::TimerFired { timer_id: 0 }]);
         }
-        (None, false)
+        TurnOutcome::Queued
     }
 
     /// A turn with a complete answer: its server.
     fn complete_turn(&mut self, session: u64, prompt: u32) -> Option<u64> {
-        let (to, _) = self.submit(session, prompt);
-        let (to, id) = (to?, self.last);
+        let TurnOutcome::SentTo(to) = self.submit(session, prompt) else {
+            return None;
+        };
+        let id = self.last;
         let cached_tokens = self
             .cached_tokens
             .get(&(to, session))
@@ -120,10 +130,11 @@
     let mut fleet = CachingFleet::new(4);
     let at = fleet.warm_up(3);
     assert!(at.is_some());
-    assert_eq!(fleet.submit(1, 15_000), (at, false));
+    let sent = TurnOutcome::SentTo(at.unwrap());
+    assert_eq!(fleet.submit(1, 15_000), sent);
     fleet.end(Outcome::Timeout, 1_000_000, None);
     // its client retries within its timeout
-    assert_eq!(fleet.submit(1, 15_000), (at, false));
+    assert_eq!(fleet.submit(1, 15_000), sent);
 }
 
 /// The prefill model is fitted to the tokens that were not cached, not to the estimate of them. A
@@ -141,8 +152,8 @@
             "turn {n}"
         );
     }
-    assert_eq!(fleet.submit(0, 60_000), (None, true));
-    assert_eq!(fleet.submit(0, 20_000).0, Some(0));
+    assert_eq!(fleet.submit(0, 60_000), TurnOutcome::Rejected);
+    assert_eq!(fleet.submit(0, 20_000), TurnOutcome::SentTo(0));
 }
 
 /// A session whose server answers late does not migrate where the prefill takes a large part of its
@@ -154,15 +165,16 @@
     let at = fleet.warm_up(6).expect("a server");
     // a turn there gets no first token, long after it was expected: no further request is sent
     // there
-    assert_eq!(fleet.submit(1, 15_000).0, Some(at));
+    assert_eq!(fleet.submit(1, 15_000), TurnOutcome::SentTo(at));
     fleet
         .gateway
         .step(500_000, vec![Event::TimerFired { timer_id: 0 }]);
-    assert_eq!(fleet.submit(1, 15_000), (None, true));
+    assert_eq!(fleet.submit(1, 15_000), TurnOutcome::Rejected);
     let draining = entry(at).with_state(EndpointState::Draining);
     fleet.gateway.step(
         1_000,
         vec![endpoints_updated(EndpointListKind::Partial, vec![draining])],
     );
-    assert!(fleet.submit(1, 15_000).0.is_some_and(|to| to != at));
+    let migrated = fleet.submit(1, 15_000);
+    assert!(matches!(migrated, TurnOutcome::SentTo(to) if to != at));
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -17,7 +17,7 @@
 /// sent anything before. It gets no more than the rule allows: three tenths of a warm one's part,
 /// and twice the margin.
 #[test]
-fn warming_replica_gets_its_part() {
+fn warming_replicas_get_their_part() {
     let mut entries: Vec<ReplicaEntry> = (0..30).map(entry).collect();
     entries.extend((30..40).map(warming));
     let mut fleet = Fleet::new(&slow_start_settings(), &entries);
@@ -26,7 +26,7 @@
     }
     // 100 requests a second over 40 replicas: a warm one's part is 2.5 a second, which is within
     // its capacity
-    let to_warming = fleet.sent.iter().filter(|s| s.2 >= 30).count();
+    let to_warming = fleet.sent.iter().filter(|s| s.replica >= 30).count();
     assert!(
         to_warming >= 20,
         "{to_warming} of {} sends to ten warming replicas in 3 s",
@@ -62,7 +62,7 @@
         for _ in 0..300 / processes {
             fleet.round(Span::from_micros(10_000 * processes));
         }
-        let to_warming = fleet.sent.iter().filter(|s| s.2 >= 30).count();
+        let to_warming = fleet.sent.iter().filter(|s| s.replica >= 30).count();
         (
             to_warming,
             fleet.max_sends(Span::from_millis(1_500), |to| to >= 30),
--- a/tests/slow_start_sums.rs
+++ b/tests/slow_start_sums.rs
@@ -120,15 +120,17 @@
 
 /// The windows in which a server in slow start got more calls than allowed, each with its calls and
 /// the limit.
-fn violations(set: &Settings, due: f64, sent: &[(Timestamp, usize, u64)]) -> Vec<(usize, f64)> {
+fn violations(set: &Settings, due: f64, sent: &[SentAttempt]) -> Vec<(usize, f64)> {
     let calls_in = |at: Timestamp, to: u64| {
         sent.iter()
-            .filter(|call| call.2 == to && call.0 >= at && call.0 - at <= set.overload_window)
+            .filter(|call| {
+                call.replica == to && call.at >= at && call.at - at <= set.overload_window
+            })
             .count()
     };
-    let windows = sent.iter().map(|&(at, _, to)| {
+    let windows = sent.iter().map(|&SentAttempt { at, replica }| {
         let limit = allowed(set, due, capacity(set, (at - START).as_secs_f64()));
-        (calls_in(at, to), limit + chance_tolerance(limit))
+        (calls_in(at, replica), limit + chance_tolerance(limit))
     });
     windows
         .filter(|(calls, limit)| *calls as f64 > *limit)
@@ -136,7 +138,7 @@
 }
 
 /// The calls to servers in slow start in one run.
-fn run(set: &Settings, traffic: Traffic, rate: u64, seed: u64) -> Vec<(Timestamp, usize, u64)> {
+fn run(set: &Settings, traffic: Traffic, rate: u64, seed: u64) -> Vec<SentAttempt> {
     let entries: Vec<ReplicaEntry> = (0..WARM + WARMING)
         .map(|k| {
             if k < WARM {
@@ -162,7 +164,7 @@
                 .for_each(|k| fleet.step(k, now, vec![Event::TimerFired { timer_id: 0 }]));
         }
     }
-    fleet.sent.retain(|call| call.2 >= WARM);
+    fleet.sent.retain(|call| call.replica >= WARM);
     fleet.sent
 }
 
