--- a/tests/models.rs
+++ b/tests/models.rs
@@ -19,7 +19,10 @@
 
 fn gateway(entries: Vec<ReplicaEntry>) -> Gateway {
     let mut gateway = Gateway::new(settings(), 0);
-    gateway.step(0, vec![list(EndpointListKind::Complete, entries)]);
+    gateway.step(
+        0,
+        vec![endpoints_updated(EndpointListKind::Complete, entries)],
+    );
     gateway
 }
 
@@ -39,16 +42,19 @@
     );
     let mut sent = Vec::new();
     for id in 1..=20 {
-        sent.extend(sends(&gateway.ask(60_000, request_for(1, id))));
+        sent.extend(sends(&gateway.submit(60_000, request_for(1, id))));
         gateway.step(
             1_000,
-            vec![first(id, 0, 1_000), ended(id, 0, Outcome::Completed, true)],
+            vec![
+                first_token(id, 0, 1_000),
+                attempt_ended(id, 0, Outcome::Completed, true),
+            ],
         );
     }
     assert_eq!(sent.len(), 20);
     assert!(sent.iter().all(|s| s.1 != 23), "{sent:?}");
     // one replica in 40 has the model: a step whose draws miss it is followed by others
-    let mut actions = gateway.ask(2_000, request_for(2, 50));
+    let mut actions = gateway.submit(2_000, request_for(2, 50));
     for _ in 0..40 {
         actions.extend(gateway.step(5_000, vec![Event::TimerFired { timer_id: 0 }]));
     }
@@ -63,8 +69,8 @@
         prompt_tokens: 6_000,
         ..request_for(1, 1)
     };
-    assert_eq!(sends(&gateway.ask(2_000, long)), [(1, 0)]);
-    assert_eq!(sends(&gateway.ask(2_000, request_for(2, 2))), [(2, 1)]);
+    assert_eq!(sends(&gateway.submit(2_000, long)), [(1, 0)]);
+    assert_eq!(sends(&gateway.submit(2_000, request_for(2, 2))), [(2, 1)]);
 }
 
 #[rstest]
@@ -74,21 +80,24 @@
     let mut gateway = gateway(vec![serving(0, &[(1, 0), (2, 0)])]);
     if queued == 1 {
         // a long prompt keeps the only replica from maturing
-        gateway.ask(
+        gateway.submit(
             2_000,
             Arrival {
                 prompt_tokens: 6_000,
                 ..request_for(1, 1)
             },
         );
-        assert!(gateway.ask(2_000, request_for(2, 2)).is_empty());
+        assert!(gateway.submit(2_000, request_for(2, 2)).is_empty());
         let actions = gateway.step(
             2_000,
-            vec![list(EndpointListKind::Partial, vec![serving(0, &[(1, 0)])])],
+            vec![endpoints_updated(
+                EndpointListKind::Partial,
+                vec![serving(0, &[(1, 0)])],
+            )],
         );
-        assert!(refused(&actions, 2), "{actions:?}");
+        assert!(is_rejected(&actions, 2), "{actions:?}");
     } else {
-        assert!(refused(&gateway.ask(2_000, request_for(3, 2)), 2));
+        assert!(is_rejected(&gateway.submit(2_000, request_for(3, 2)), 2));
     }
 }
 
@@ -96,22 +105,25 @@
 fn loaded_models_are_preferred() {
     let mut gateway = gateway(vec![serving(0, &[(1, 300_000)]), serving(1, &[(1, 0)])]);
     for id in 1..=10 {
-        assert_eq!(sends(&gateway.ask(100_000, request_for(1, id))), [(id, 1)]);
+        assert_eq!(sends(&gateway.submit(100_000, request_for(1, id))), [(id, 1)]);
         gateway.step(
             1_000,
-            vec![first(id, 0, 1_000), ended(id, 0, Outcome::Completed, true)],
+            vec![
+                first_token(id, 0, 1_000),
+                attempt_ended(id, 0, Outcome::Completed, true),
+            ],
         );
     }
     // a load that takes longer than the objective is not begun
     let mut gateway = Gateway::new(settings(), 0);
     gateway.step(
         0,
-        vec![list(
+        vec![endpoints_updated(
             EndpointListKind::Complete,
             vec![serving(0, &[(1, 3_000_000)])],
         )],
     );
-    assert!(sends(&gateway.ask(2_000, request_for(1, 1))).is_empty());
+    assert!(sends(&gateway.submit(2_000, request_for(1, 1))).is_empty());
 }
 
 #[test]
@@ -119,22 +131,22 @@
     let mut gateway = gateway(vec![serving(0, &[(1, 0)]), serving(1, &[(1, 0)])]);
     let mut arrival = request_for(1, 1);
     arrival.prior_attempts = 2;
-    assert_eq!(sends(&gateway.ask(2_000, arrival)).len(), 1);
-    let actions = gateway.step(2_000, vec![ended(1, 0, Outcome::Error, false)]);
+    assert_eq!(sends(&gateway.submit(2_000, arrival)).len(), 1);
+    let actions = gateway.step(2_000, vec![attempt_ended(1, 0, Outcome::Error, false)]);
     assert!(
-        refused(&actions, 1) && sends(&actions).is_empty(),
+        is_rejected(&actions, 1) && sends(&actions).is_empty(),
         "{actions:?}"
     );
     let without_attempts = Arrival {
         prior_attempts: 3,
         ..request_for(1, 2)
     };
-    let mut actions = gateway.ask(500_000, without_attempts);
+    let mut actions = gateway.submit(500_000, without_attempts);
     for _ in 0..60 {
         actions.extend(gateway.step(100_000, vec![Event::TimerFired { timer_id: 0 }]));
     }
     assert!(
-        sends(&actions).is_empty() && refused(&actions, 2),
+        sends(&actions).is_empty() && is_rejected(&actions, 2),
         "{actions:?}"
     );
 }
@@ -154,7 +166,7 @@
                 prompt_tokens: 900,
                 ..request_for(1, 1)
             };
-            let sent = sends(&gateway.ask(2_000, request));
+            let sent = sends(&gateway.submit(2_000, request));
             assert_eq!(sent[0].1 % 2, 0, "{sent:?}");
             replicas.push(sent);
         }
