--- a/src/batch/http_api/chat_answer.rs
+++ b/src/batch/http_api/chat_answer.rs
@@ -7,7 +7,7 @@
 use super::session::Session;
 use crate::api::{ApiError, Reply};
 use crate::batch::completion::{CompletionBuilder, CompletionDefaults};
-use crate::batch::store::unix_seconds;
+use crate::batch::wall_clock::unix_seconds;
 use crate::edge::service::{Part, Serving};
 use crate::net::http::{Head, HttpError, LAST_CHUNK, put_chunk};
 
--- a/src/batch/jobs.rs
+++ b/src/batch/jobs.rs
@@ -24,7 +24,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::sync::watch;
 
-use super::store::unix_seconds;
+use super::wall_clock::unix_seconds;
 use crate::edge::Caller;
 
 use batch::Batch;
--- a/src/batch/jobs/batch.rs
+++ b/src/batch/jobs/batch.rs
@@ -6,7 +6,8 @@
 
 use super::error::JobError;
 use super::new_batch::NewBatch;
-use crate::batch::store::{StoreError, unix_seconds};
+use crate::batch::store::StoreError;
+use crate::batch::wall_clock::unix_seconds;
 use crate::edge::Caller;
 
 /// The status of a batch.
--- a/src/batch/jobs/core_submission.rs
+++ b/src/batch/jobs/core_submission.rs
@@ -9,7 +9,7 @@
 use crate::batch::completion::{CompletionBuilder, CompletionDefaults};
 use crate::batch::concurrency::Permit;
 use crate::batch::line::{LineError, LineRequest};
-use crate::batch::store::unix_seconds;
+use crate::batch::wall_clock::unix_seconds;
 use crate::core::{Answer, Chunk};
 
 /// How a submission ended that did not fail.
--- a/src/batch/jobs/edge_submission.rs
+++ b/src/batch/jobs/edge_submission.rs
@@ -10,7 +10,7 @@
 use crate::batch::concurrency::Permit;
 use crate::batch::edge_access::EdgeAccess;
 use crate::batch::line::{LineError, LineRequest};
-use crate::batch::store::unix_seconds;
+use crate::batch::wall_clock::unix_seconds;
 use crate::edge::service::{Declined, Part, Serving, Work};
 
 /// How a submission ended that did not fail.
--- a/src/batch/line/error.rs
+++ b/src/batch/line/error.rs
@@ -2,9 +2,11 @@
 
 use thiserror::Error;
 
-use super::request::MAX_CUSTOM_ID_BYTES;
 use crate::batch::completion::CompletionError;
 
+/// The longest `custom_id`: it is held in memory for each line in flight.
+pub(super) const MAX_CUSTOM_ID_BYTES: usize = 512;
+
 /// Why a line has no answer. The text is the message in the result file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LineError {
--- a/src/batch/line/outcome.rs
+++ b/src/batch/line/outcome.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use super::LineError;
+use super::error::LineError;
 
 /// The outcome of a line: one line of the result file.
 #[derive(Clone, Debug)]
--- a/src/batch/line/request.rs
+++ b/src/batch/line/request.rs
@@ -6,15 +6,13 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-use super::LineError;
+use super::error::{LineError, MAX_CUSTOM_ID_BYTES};
 use crate::api::ApiError;
 use crate::core::{Payload, Request, RequestAttributes};
 use crate::edge::chat::Chat;
 use crate::interface::stable_hash;
 use crate::net::upstream::payload;
 
-/// The longest `custom_id`: it is held in memory for each line in flight.
-pub(super) const MAX_CUSTOM_ID_BYTES: usize = 512;
 /// The token limit of an answer whose line sets none.
 const DEFAULT_MAX_OUTPUT_TOKENS: u32 = 500;
 /// Characters in a token, as the platform estimates them.
--- a/src/batch/mod.rs
+++ b/src/batch/mod.rs
@@ -13,6 +13,7 @@
 pub mod line;
 mod options;
 pub mod store;
+mod wall_clock;
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/batch/store.rs
+++ b/src/batch/store.rs
@@ -4,13 +4,11 @@
 mod appender;
 mod error;
 mod file_info;
+mod table;
 
-use std::collections::BTreeMap;
-use std::hash::{BuildHasher, RandomState};
 use std::io;
 use std::path::{Path, PathBuf};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::sync::Arc;
 
 use tokio::fs::File;
 use tokio::task::spawn_blocking;
@@ -19,43 +17,15 @@
 use crate::storage::{Disk, FileSystem, OpenFile};
 
 use appender::WriteLease;
+use table::FileTable;
 
 pub use appender::Appender;
 pub use error::StoreError;
 pub use file_info::{FileInfo, NewFile, StoredFile};
+pub use table::StoreLimits;
 
 /// The extension of the files in the spool.
 const FILE_EXTENSION: &str = "spool";
-/// The longest file name that is remembered, in characters.
-const MAX_NAME_CHARS: usize = 255;
-
-/// The wall clock, in seconds of Unix time.
-pub fn unix_seconds() -> u64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_secs()
-}
-
-/// The limits of a store.
-#[derive(Clone, Copy, Debug)]
-pub struct StoreLimits {
-    /// The most bytes of one file.
-    pub file_bytes: u64,
-    /// The most bytes of all files.
-    pub spool_bytes: u64,
-    /// The most files.
-    pub files: usize,
-}
-
-#[derive(Default)]
-struct State {
-    files: BTreeMap<String, FileInfo>,
-    /// Bytes of all files.
-    used_bytes: u64,
-    /// The number of the latest id.
-    last_number: u64,
-}
 
 /// The store; clones share it.
 #[derive(Clone)]
@@ -63,9 +33,7 @@
     dir: PathBuf,
     /// Creates and writes files; they are read without it.
     file_system: Arc<dyn FileSystem>,
-    limits: StoreLimits,
-    id_hasher: RandomState,
-    state: Arc<Mutex<State>>,
+    table: Arc<FileTable>,
 }
 
 impl Store {
@@ -91,23 +59,13 @@
         Ok(Store {
             dir: dir.to_path_buf(),
             file_system,
-            limits,
-            id_hasher: RandomState::new(),
-            state: Arc::default(),
+            table: Arc::new(FileTable::new(limits)),
         })
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
     /// A new id with this prefix, which can't be guessed.
     pub fn fresh_id(&self, prefix: &str) -> String {
-        let mut state = self.state();
-        state.last_number += 1;
-        let number = state.last_number;
-        let hash = self.id_hasher.hash_one((number, prefix));
-        format!("{prefix}{hash:016x}{number:08x}")
+        self.table.fresh_id(prefix)
     }
 
     fn path(&self, id: &str) -> PathBuf {
@@ -116,79 +74,37 @@
 
     /// The most bytes of one file.
     pub fn max_file_bytes(&self) -> u64 {
-        self.limits.file_bytes
+        self.table.limits.file_bytes
     }
 
     /// Creates an empty file.
     pub async fn create(&self, new: NewFile<'_>) -> Result<FileInfo, StoreError> {
-        let max_bytes = self.limits.file_bytes;
-        if new.total_bytes.is_some_and(|total| total > max_bytes) {
-            return Err(StoreError::TooLarge { max_bytes });
-        }
-        let info = self.reserve(self.fresh_id("file-"), new)?;
+        let info = self.table.add(new)?;
         let created = self
             .open_for_writing(&info.id, |file_system, path| file_system.create(path))
             .await;
         if let Err(e) = created {
-            self.state().files.remove(&info.id);
+            self.table.undo_add(&info.id);
             return Err(e);
         }
         Ok(info)
     }
 
-    /// Adds a file to the table, within the limits.
-    fn reserve(&self, id: String, new: NewFile<'_>) -> Result<FileInfo, StoreError> {
-        let mut state = self.state();
-        let has_capacity =
-            state.files.len() < self.limits.files && state.used_bytes < self.limits.spool_bytes;
-        if !has_capacity {
-            return Err(StoreError::Full);
-        }
-        let name = new.name.chars().filter(|c| !c.is_control());
-        let info = FileInfo {
-            id: id.clone(),
-            number: state.last_number,
-            name: name.take(MAX_NAME_CHARS).collect(),
-            purpose: new.purpose.to_string(),
-            bytes: 0,
-            total_bytes: new.total_bytes,
-            is_complete: false,
-            created_at: unix_seconds(),
-            owner: new.owner.clone(),
-            is_leased: false,
-        };
-        state.files.insert(id, info.clone());
-        Ok(info)
-    }
-
     /// The description of a file.
     pub fn info(&self, id: &str) -> Result<FileInfo, StoreError> {
-        let state = self.state();
-        state.files.get(id).cloned().ok_or(StoreError::Unknown)
+        self.table.info(id)
     }
 
     /// The descriptions of all files, the latest first.
     pub fn list(&self) -> Vec<FileInfo> {
-        let mut files: Vec<FileInfo> = self.state().files.values().cloned().collect();
-        files.sort_by_key(|file| std::cmp::Reverse(file.number));
-        files
+        self.table.list()
     }
 
     /// Opens a file to append to it. The offset must be its end.
     pub async fn append(&self, id: &str, offset: u64) -> Result<Appender, StoreError> {
-        {
-            let mut state = self.state();
-            let info = state.files.get_mut(id).ok_or(StoreError::Unknown)?;
-            if info.is_leased {
-                return Err(StoreError::Busy);
-            }
-            if info.is_complete || info.bytes != offset {
-                return Err(StoreError::WrongOffset { end: info.bytes });
-            }
-            info.is_leased = true;
-        }
+        self.table.lease(id, offset)?;
         let lease = Arc::new(WriteLease {
-            store: self.clone(),
+            table: self.table.clone(),
             id: id.to_string(),
         });
         let file = self
@@ -219,15 +135,7 @@
 
     /// Deletes a file. Those who are reading it can go on.
     pub async fn remove(&self, id: &str) -> Result<(), StoreError> {
-        {
-            let mut state = self.state();
-            if state.files.get(id).ok_or(StoreError::Unknown)?.is_leased {
-                return Err(StoreError::Busy);
-            }
-            if let Some(info) = state.files.remove(id) {
-                state.used_bytes -= info.bytes;
-            }
-        }
+        self.table.remove(id)?;
         tokio::fs::remove_file(self.path(id)).await?;
         Ok(())
     }
--- /dev/null
+++ b/src/batch/store/table.rs
@@ -0,0 +1,183 @@
+//! The table of files: their descriptions, their writers, and the space that they take within the
+//! limits. Knows nothing of their content.
+
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+use std::hash::{BuildHasher, RandomState};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+use super::error::StoreError;
+use super::file_info::{FileInfo, NewFile};
+use crate::batch::wall_clock::unix_seconds;
+
+/// The longest file name that is remembered, in characters.
+const MAX_NAME_CHARS: usize = 255;
+
+/// The limits of a store.
+#[derive(Clone, Copy, Debug)]
+pub struct StoreLimits {
+    /// The most bytes of one file.
+    pub file_bytes: u64,
+    /// The most bytes of all files.
+    pub spool_bytes: u64,
+    /// The most files.
+    pub files: usize,
+}
+
+#[derive(Default)]
+struct State {
+    files: BTreeMap<String, FileInfo>,
+    /// Bytes of all files.
+    used_bytes: u64,
+    /// The number of the latest id.
+    last_number: u64,
+}
+
+/// The table of files.
+pub(super) struct FileTable {
+    pub(super) limits: StoreLimits,
+    id_hasher: RandomState,
+    state: Mutex<State>,
+}
+
+impl FileTable {
+    pub(super) fn new(limits: StoreLimits) -> FileTable {
+        FileTable {
+            limits,
+            id_hasher: RandomState::new(),
+            state: Mutex::default(),
+        }
+    }
+
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// A new id with this prefix, which can't be guessed.
+    pub(super) fn fresh_id(&self, prefix: &str) -> String {
+        let mut state = self.lock();
+        state.last_number += 1;
+        let number = state.last_number;
+        let hash = self.id_hasher.hash_one((number, prefix));
+        format!("{prefix}{hash:016x}{number:08x}")
+    }
+
+    /// Adds an empty file, if the limits allow it.
+    pub(super) fn add(&self, new: NewFile<'_>) -> Result<FileInfo, StoreError> {
+        let max_bytes = self.limits.file_bytes;
+        if new.total_bytes.is_some_and(|total| total > max_bytes) {
+            return Err(StoreError::TooLarge { max_bytes });
+        }
+        let id = self.fresh_id("file-");
+        let mut state = self.lock();
+        let has_capacity =
+            state.files.len() < self.limits.files && state.used_bytes < self.limits.spool_bytes;
+        if !has_capacity {
+            return Err(StoreError::Full);
+        }
+        let name = new.name.chars().filter(|c| !c.is_control());
+        let info = FileInfo {
+            id: id.clone(),
+            number: state.last_number,
+            name: name.take(MAX_NAME_CHARS).collect(),
+            purpose: new.purpose.to_string(),
+            bytes: 0,
+            total_bytes: new.total_bytes,
+            is_complete: false,
+            created_at: unix_seconds(),
+            owner: new.owner.clone(),
+            is_leased: false,
+        };
+        state.files.insert(id, info.clone());
+        Ok(info)
+    }
+
+    /// Removes a file that could not be created.
+    pub(super) fn undo_add(&self, id: &str) {
+        self.lock().files.remove(id);
+    }
+
+    /// Removes a file that has no writer, and frees its space.
+    pub(super) fn remove(&self, id: &str) -> Result<(), StoreError> {
+        let mut state = self.lock();
+        if state.files.get(id).ok_or(StoreError::Unknown)?.is_leased {
+            return Err(StoreError::Busy);
+        }
+        if let Some(info) = state.files.remove(id) {
+            state.used_bytes -= info.bytes;
+        }
+        Ok(())
+    }
+
+    /// The description of a file.
+    pub(super) fn info(&self, id: &str) -> Result<FileInfo, StoreError> {
+        let state = self.lock();
+        state.files.get(id).cloned().ok_or(StoreError::Unknown)
+    }
+
+    /// The descriptions of all files, the latest first.
+    pub(super) fn list(&self) -> Vec<FileInfo> {
+        let mut files: Vec<FileInfo> = self.lock().files.values().cloned().collect();
+        files.sort_by_key(|file| Reverse(file.number));
+        files
+    }
+
+    /// Gives a file a writer. The offset must be its end.
+    pub(super) fn lease(&self, id: &str, offset: u64) -> Result<(), StoreError> {
+        let mut state = self.lock();
+        let info = state.files.get_mut(id).ok_or(StoreError::Unknown)?;
+        if info.is_leased {
+            return Err(StoreError::Busy);
+        }
+        if info.is_complete || info.bytes != offset {
+            return Err(StoreError::WrongOffset { end: info.bytes });
+        }
+        info.is_leased = true;
+        Ok(())
+    }
+
+    /// The file has no writer any more.
+    pub(super) fn end_lease(&self, id: &str) {
+        if let Some(info) = self.lock().files.get_mut(id) {
+            info.is_leased = false;
+        }
+    }
+
+    /// The end of a file, if this many bytes more are within the limits.
+    pub(super) fn end_with_capacity(&self, id: &str, count: u64) -> Result<u64, StoreError> {
+        let state = self.lock();
+        let available = self.limits.spool_bytes.saturating_sub(state.used_bytes);
+        let info = state.files.get(id).ok_or(StoreError::Unknown)?;
+        let max_bytes = info.total_bytes.unwrap_or(self.limits.file_bytes);
+        if info.bytes + count > max_bytes {
+            return Err(StoreError::TooLarge { max_bytes });
+        }
+        if count > available {
+            return Err(StoreError::Full);
+        }
+        Ok(info.bytes)
+    }
+
+    /// Counts bytes that were written at the end of a file.
+    pub(super) fn add_bytes(&self, id: &str, count: u64) {
+        let mut state = self.lock();
+        state.used_bytes += count;
+        if let Some(info) = state.files.get_mut(id) {
+            info.bytes += count;
+        }
+    }
+
+    /// Marks a file as complete.
+    pub(super) fn complete(&self, id: &str) -> Result<FileInfo, StoreError> {
+        let mut state = self.lock();
+        let info = state.files.get_mut(id).ok_or(StoreError::Unknown)?;
+        info.is_complete = true;
+        Ok(info.clone())
+    }
+
+    /// The bytes of all files.
+    #[cfg(test)]
+    pub(super) fn used_bytes(&self) -> u64 {
+        self.lock().used_bytes
+    }
+}
--- a/src/batch/store/tests.rs
+++ b/src/batch/store/tests.rs
@@ -75,7 +75,7 @@
     appender.finish().unwrap();
     assert_eq!(content(&store, &info.id).await, "onetwo");
     // the spool's count is what readers are given
-    assert_eq!(store.state().used_bytes, 6);
+    assert_eq!(store.table.used_bytes(), 6);
 }
 
 #[tokio::test]
@@ -131,5 +131,5 @@
     tokio::time::timeout(Duration::from_secs(30), written)
         .await
         .expect("written all the same");
-    assert_eq!(store.state().used_bytes, 4);
+    assert_eq!(store.table.used_bytes(), 4);
 }
