--- a/src/batch/concurrency.rs
+++ b/src/batch/concurrency.rs
@@ -26,8 +26,6 @@
 /// The weight of a line's latency in the smoothed one, and the part of the shared limit that a late
 /// line costs.
 const NEW_LINE_WEIGHT: f64 = 1.0 / 8.0;
-/// The weight of an observation of interactive answers in their smoothed latency.
-const NEW_OBSERVATION_WEIGHT: f64 = 1.0 / 2.0;
 /// The factor by which the best latency grows with each observation, so that it is forgotten.
 const BEST_LATENCY_GROWTH: f64 = 1.002;
 /// Interactive answers whose mean latency makes one observation.
@@ -51,9 +49,10 @@
         }
     }
 
-    fn observe(&mut self, latency: f64, weight: f64) {
+    /// Takes in a latency; `smooth` combines the smoothed one with it.
+    fn observe(&mut self, latency: f64, smooth: impl FnOnce(f64, f64) -> f64) {
         self.smoothed = if self.smoothed > 0.0 {
-            self.smoothed + (latency - self.smoothed) * weight
+            smooth(self.smoothed, latency)
         } else {
             latency
         };
@@ -155,9 +154,7 @@
         }
         state.observed_waits = waits;
         let mean = micros as f64 / count as f64;
-        state
-            .interactive_latency
-            .observe(mean, NEW_OBSERVATION_WEIGHT);
+        state.interactive_latency.observe(mean, f64::midpoint);
         if state.interactive_latency.is_late() {
             state.shared_limit = (state.shared_limit / 2.0).max(1.0);
         }
@@ -211,9 +208,10 @@
         let mut state = self.limit.state();
         let state = &mut *state;
         state.limit = (state.limit + 1.0 / state.limit).min(max_limit);
+        let smooth = |old: f64, new: f64| old + (new - old) * NEW_LINE_WEIGHT;
         state
             .line_latency
-            .observe(start_latency.as_secs_f64(), NEW_LINE_WEIGHT);
+            .observe(start_latency.as_secs_f64(), smooth);
         self.limit.observe_interactive_latency(state);
         if state.interactive_latency.is_late() {
             return;
