--- a/tests/models.rs
+++ b/tests/models.rs
@@ -105,7 +105,10 @@
 fn loaded_models_are_preferred() {
     let mut gateway = gateway(vec![serving(0, &[(1, 300_000)]), serving(1, &[(1, 0)])]);
     for id in 1..=10 {
-        assert_eq!(sends(&gateway.submit(100_000, request_for(1, id))), [(id, 1)]);
+        assert_eq!(
+            sends(&gateway.submit(100_000, request_for(1, id))),
+            [(id, 1)]
+        );
         gateway.step(
             1_000,
             vec![
