--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -87,16 +87,33 @@
     Opened,
     Head,
     Body,
-    Asked,
+    Sent,
     Answered,
 }
 
+/// Has a client write this request as far as the stage says; at the last stage another request is
+/// answered.
+async fn advance(client: &mut Client, text: &[u8], stage: Stage) {
+    let head = text
+        .windows(4)
+        .position(|four| four == b"\r\n\r\n")
+        .unwrap()
+        + 4;
+    match stage {
+        Stage::Opened => {}
+        Stage::Head => client.send(&text[..head / 2]).await,
+        Stage::Body => client.send(&text[..head + 5]).await,
+        Stage::Sent => client.send(text).await,
+        Stage::Answered => assert!(client.call(&request("hint", 1000, "")).await.whole),
+    }
+}
+
 /// A client that closes, or half closes, at any stage has disconnected: nothing is answered,
 /// nothing is forwarded any more, and the connection is closed at once.
 #[rstest]
 #[tokio::test]
 async fn half_close_is_a_disconnect(
-    #[values(Stage::Opened, Stage::Head, Stage::Body, Stage::Asked, Stage::Answered)] stage: Stage,
+    #[values(Stage::Opened, Stage::Head, Stage::Body, Stage::Sent, Stage::Answered)] stage: Stage,
     #[values(false, true)] half: bool,
 ) {
     // the bystander has a server of its own pace; the client's request waits for the gate
@@ -109,18 +126,7 @@
     let bystander = Bystander::start(&router);
     let mut client = Client::new(&router.platform).await;
     let text = request_of("00000000000000aa", "batch-mark", 9000, "");
-    let head = text
-        .windows(4)
-        .position(|four| four == b"\r\n\r\n")
-        .unwrap()
-        + 4;
-    match stage {
-        Stage::Opened => {}
-        Stage::Head => client.send(&text[..head / 2]).await,
-        Stage::Body => client.send(&text[..head + 5]).await,
-        Stage::Asked => client.send(&text).await,
-        Stage::Answered => assert!(client.call(&request("hint", 1000, "")).await.whole),
-    }
+    advance(&mut client, &text, stage).await;
     sleep(Duration::from_millis(50)).await;
     let start = Instant::now();
     if half {
@@ -139,7 +145,7 @@
     } else {
         drop(client);
     }
-    if stage == Stage::Asked {
+    if stage == Stage::Sent {
         // its attempt is cancelled
         until("the attempt is closed", || {
             server.dropped.load(std::sync::atomic::Ordering::SeqCst) == 1
@@ -152,14 +158,8 @@
         );
     }
     bystander.served().await;
-    let sent = server
-        .seen
-        .lock()
-        .unwrap()
-        .iter()
-        .filter(|(head, _)| head.get("x-trace-id") == Some("00000000000000aa"))
-        .count();
-    assert_eq!(sent, usize::from(stage == Stage::Asked));
+    let sent = server.requests_under("00000000000000aa");
+    assert_eq!(sent, usize::from(stage == Stage::Sent));
 }
 
 /// An id that is in use, and bytes behind a request that ends its connection.
--- a/tests/common/scripted_peer.rs
+++ b/tests/common/scripted_peer.rs
@@ -11,6 +11,8 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
+use super::responses::answer;
+
 /// What a scripted peer does with a request, step by step.
 #[derive(Clone, Debug)]
 pub enum Step {
@@ -98,12 +100,27 @@
     Some((head, bytes.to_vec()))
 }
 
+/// Two model servers that answer `a` and `b`.
+pub async fn answering_pair() -> (Peer, Peer) {
+    (
+        peer(|_, _, _| answer("a")).await,
+        peer(|_, _, _| answer("b")).await,
+    )
+}
+
 impl Peer {
     /// How many requests it saw.
     pub fn requests(&self) -> usize {
         self.seen.lock().unwrap().len()
     }
 
+    /// How many requests it saw under this id.
+    pub fn requests_under(&self, id: &str) -> usize {
+        let seen = self.seen.lock().unwrap();
+        let of_id = |(head, _): &&Seen| head.get("x-trace-id") == Some(id);
+        seen.iter().filter(of_id).count()
+    }
+
     /// The targets of the requests that it saw.
     pub fn targets(&self) -> Vec<String> {
         let seen = self.seen.lock().unwrap();
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -30,10 +30,7 @@
 #[case::pushed(false)]
 #[tokio::test]
 async fn watch_survives_failures_and_drains_servers(#[case] polled: bool) {
-    let (a, b) = (
-        peer(|_, _, _| answer("a")).await,
-        peer(|_, _, _| answer("b")).await,
-    );
+    let (a, b) = answering_pair().await;
     let drain = list(2, false, &[("s-a", &a.address, "DRAINING")]).to_string();
     let discovery = peer(move |n, _, _| {
         let text = if n == 1 {
--- a/tests/maintenance_state.rs
+++ b/tests/maintenance_state.rs
@@ -16,10 +16,7 @@
 
 /// A router with this state directory and two model servers.
 async fn router(folder: &Folder) -> (Router, Peer, Peer) {
-    let (a, b) = (
-        peer(|_, _, _| answer("a")).await,
-        peer(|_, _, _| answer("b")).await,
-    );
+    let (a, b) = answering_pair().await;
     let config = config(
         &[
             ("s-a", &a.address, "SERVING"),
--- a/tests/operations/admin_address.rs
+++ b/tests/operations/admin_address.rs
@@ -48,8 +48,8 @@
     let calls = async {
         for _ in 0..20 {
             execute(&router, "GET", "/metrics").await;
-            execute(&router, "POST", "/model-servers/disable?name=s-a").await;
-            execute(&router, "POST", "/model-servers/enable?name=s-a").await;
+            disable(&router, "s-a").await;
+            enable(&router, "s-a").await;
         }
     };
     timeout(Duration::from_secs(15), calls)
--- a/tests/operations/exclusions.rs
+++ b/tests/operations/exclusions.rs
@@ -10,16 +10,10 @@
 
 #[tokio::test]
 async fn excluded_server_gets_nothing_until_restored() {
-    let (a, b) = (
-        peer(|_, _, _| answer("a")).await,
-        peer(|_, _, _| answer("b")).await,
-    );
+    let (a, b) = answering_pair().await;
     let moved = peer(|_, _, _| answer("moved")).await;
-    let (at_a, at_b, at_c) = (
-        a.address.as_str(),
-        b.address.as_str(),
-        moved.address.as_str(),
-    );
+    let (at_a, at_b) = (a.address.as_str(), b.address.as_str());
+    let at_c = moved.address.as_str();
     let lists = [
         list(2, false, &[("s-a", at_a, "DELETED")]),
         list(3, false, &[("s-a", at_a, "SERVING")]),
@@ -35,21 +29,13 @@
     let both = [("s-a", at_a, "SERVING"), ("s-b", at_b, "SERVING")];
     let router = route(config(&both, Some(&discovery.address))).await;
     until("the watch", || discovery.requests() == 1).await;
-    assert_eq!(
-        call(&router, "POST", "/model-servers/disable?name=s-x")
-            .await
-            .0,
-        404
-    );
-    assert_eq!(
-        call(&router, "POST", "/model-servers/enable?name=s-x")
-            .await
-            .0,
-        404
-    );
+    let unknown = call(&router, "POST", "/model-servers/disable?name=s-x").await;
+    assert_eq!(unknown.0, 404);
+    let unknown = call(&router, "POST", "/model-servers/enable?name=s-x").await;
+    assert_eq!(unknown.0, 404);
     // excluding it again changes nothing
     for _ in 0..2 {
-        execute(&router, "POST", "/model-servers/disable?name=s-a").await;
+        disable(&router, "s-a").await;
     }
     for n in 1..=6 {
         for _ in 0..5 {
@@ -59,7 +45,7 @@
             discovery.gate.add_permits(1);
             until("the list has arrived", || discovery.requests() == n + 1).await;
             // listed once and removed: still known
-            execute(&router, "POST", "/model-servers/disable?name=s-a").await;
+            disable(&router, "s-a").await;
         }
     }
     assert_eq!((a.requests(), moved.requests()), (0, 0));
@@ -69,7 +55,7 @@
     )
     .await;
     // all excluded: rejected at once, as waiting is useless
-    execute(&router, "POST", "/model-servers/disable?name=s-b").await;
+    disable(&router, "s-b").await;
     let start = Instant::now();
     assert_eq!(
         ask(&router.platform, "batch-mark", 10_000)
@@ -85,8 +71,8 @@
     );
     // one command restores it at the address in the list; it may have been restarted, and goes
     // through slow start
-    execute(&router, "POST", "/model-servers/enable?name=s-b").await;
-    execute(&router, "POST", "/model-servers/enable?name=s-a").await;
+    enable(&router, "s-b").await;
+    enable(&router, "s-a").await;
     let served = async {
         while moved.requests() == 0 {
             ask(&router.platform, "hint", 1000).await;
@@ -125,7 +111,7 @@
         sleep(Duration::from_millis(50)).await;
     }
     let start = Instant::now();
-    execute(&router, "POST", "/model-servers/disable?name=s-a").await;
+    disable(&router, "s-a").await;
     for client in &mut clients {
         assert!(client.answer().await.unwrap().whole);
     }
@@ -140,10 +126,7 @@
 /// An empty list, an older one, and one that names a server twice: a draining server gets nothing.
 #[tokio::test]
 async fn odd_lists_keep_a_server_draining() {
-    let (a, b) = (
-        peer(|_, _, _| answer("a")).await,
-        peer(|_, _, _| answer("b")).await,
-    );
+    let (a, b) = answering_pair().await;
     let (at_a, at_b) = (a.address.as_str(), b.address.as_str());
     let lists = [
         list(
--- a/tests/operations/operator.rs
+++ b/tests/operations/operator.rs
@@ -19,12 +19,33 @@
     (got.head.status, got.body)
 }
 
+/// Executes a command that has to succeed; the body of its response.
 pub async fn execute(router: &Router, method: &str, target: &str) -> String {
     let (status, body) = call(router, method, target).await;
     assert_eq!(status, 200, "{target}: {body}");
     body
 }
 
+/// Excludes a model server.
+pub async fn disable(router: &Router, name: &str) {
+    execute(
+        router,
+        "POST",
+        &format!("/model-servers/disable?name={name}"),
+    )
+    .await;
+}
+
+/// Restores a model server.
+pub async fn enable(router: &Router, name: &str) {
+    execute(
+        router,
+        "POST",
+        &format!("/model-servers/enable?name={name}"),
+    )
+    .await;
+}
+
 /// The value of a metric, by its name and labels.
 pub async fn metric(router: &Router, name: &str) -> u64 {
     let text = execute(router, "GET", "/metrics").await;
--- a/tests/shutdown_deadline.rs
+++ b/tests/shutdown_deadline.rs
@@ -114,6 +114,28 @@
     servers
 }
 
+/// Opens connections of each kind; the requests on them begin at steps from the shutdown signal on.
+async fn start_clients(
+    address: &str,
+    deadline: Duration,
+    ending: &watch::Receiver<Option<Instant>>,
+    killed: &watch::Receiver<bool>,
+) -> JoinSet<Connection> {
+    let mut clients = JoinSet::new();
+    for writing in [Writing::Complete, Writing::Pipelined, Writing::InPieces] {
+        for offset in (0..1500).step_by(STEP_MS).map(Duration::from_millis) {
+            let connection = Connection::open(address, writing).await;
+            let (mut ending, killed) = (ending.clone(), killed.clone());
+            clients.spawn(async move {
+                let term = ending.wait_for(Option::is_some).await.unwrap().unwrap();
+                sleep_until(term + offset).await;
+                connection.run(deadline, killed).await
+            });
+        }
+    }
+    clients
+}
+
 /// The program is killed as early as the platform may: no request that it has read is without its
 /// complete answer.
 #[rstest]
@@ -136,18 +158,7 @@
         &settings(&hosts, deadline),
     );
     let (mut child, address, _log) = serve(&file).await;
-    let mut clients = JoinSet::new();
-    for writing in [Writing::Complete, Writing::Pipelined, Writing::InPieces] {
-        for offset in (0..1500).step_by(STEP_MS).map(Duration::from_millis) {
-            let connection = Connection::open(&address, writing).await;
-            let (mut ending, killed) = (ending.clone(), killed.clone());
-            clients.spawn(async move {
-                let term = ending.wait_for(Option::is_some).await.unwrap().unwrap();
-                sleep_until(term + offset).await;
-                connection.run(deadline, killed).await
-            });
-        }
-    }
+    let clients = start_clients(&address, deadline, &ending, &killed).await;
     let waited = waited_for_processor(&child);
     let sigterm = || {
         signal("TERM", &child);
--- a/tests/upgrade/maintenance_state.rs
+++ b/tests/upgrade/maintenance_state.rs
@@ -17,9 +17,7 @@
     let predecessor = platform.start().await;
     predecessor.wait_until_ready().await;
     assert_eq!(
-        predecessor
-            .admin_call("POST", "/model-servers/disable?name=s-a")
-            .await,
+        predecessor.post("/model-servers/disable?name=s-a").await,
         200
     );
     // reloading the configuration changes no exclusion
@@ -28,20 +26,15 @@
     let successor = platform.start().await;
     successor.wait_until_ready().await;
     // while both run, each applies the commands that the other gets
-    assert_eq!(predecessor.admin_call("POST", "/drain").await, 200);
+    assert_eq!(predecessor.post("/drain").await, 200);
     for _ in 0..20 {
         assert!(!platform.is_healthy().await);
     }
-    assert_eq!(successor.admin_call("POST", "/undrain").await, 200);
+    assert_eq!(successor.post("/undrain").await, 200);
     for _ in 0..20 {
         assert!(platform.is_healthy().await);
     }
-    assert_eq!(
-        successor
-            .admin_call("POST", "/model-servers/disable?name=s-b")
-            .await,
-        200
-    );
+    assert_eq!(successor.post("/model-servers/disable?name=s-b").await, 200);
     assert_eq!(
         ask(&platform.clients_address(), "hint", 1000)
             .await
@@ -50,9 +43,7 @@
         503
     );
     assert_eq!(
-        predecessor
-            .admin_call("POST", "/model-servers/enable?name=s-b")
-            .await,
+        predecessor.post("/model-servers/enable?name=s-b").await,
         200
     );
     predecessor.signal("TERM");
@@ -62,24 +53,19 @@
     }
     assert_eq!(a.requests(), 0);
     // killed before a takeover: the state file has it, drain included
-    assert_eq!(successor.admin_call("POST", "/drain").await, 200);
+    assert_eq!(successor.post("/drain").await, 200);
     successor.signal("KILL");
     successor.wait_for_exit().await;
     let third = platform.start().await;
     third.wait_until_ready().await;
     assert!(!platform.is_healthy().await);
-    assert_eq!(third.admin_call("POST", "/undrain").await, 200);
+    assert_eq!(third.post("/undrain").await, 200);
     assert!(platform.is_healthy().await);
     for _ in 0..10 {
         ask(&platform.clients_address(), "hint", 1000).await;
     }
     assert_eq!(a.requests(), 0);
-    assert_eq!(
-        third
-            .admin_call("POST", "/model-servers/enable?name=s-a")
-            .await,
-        200
-    );
+    assert_eq!(third.post("/model-servers/enable?name=s-a").await, 200);
     timeout(Duration::from_secs(10), async {
         while a.requests() == 0 {
             ask(&platform.clients_address(), "hint", 1000).await;
@@ -102,12 +88,7 @@
     let process = platform.start().await;
     process.wait_until_ready().await;
     assert!(ask(&platform.clients_address(), "hint", 1000).await.whole);
-    assert_eq!(
-        process
-            .admin_call("POST", "/model-servers/disable?name=s-a")
-            .await,
-        200
-    );
+    assert_eq!(process.post("/model-servers/disable?name=s-a").await, 200);
     let saved = fs::read_to_string(platform.folder.path("stilespan.orders")).unwrap();
     assert!(saved.contains("s-a"), "{saved}");
 }
@@ -120,11 +101,6 @@
     fs::create_dir_all(platform.folder.path("stilespan.orders/x")).unwrap();
     let process = platform.start().await;
     process.wait_until_ready().await;
-    assert_eq!(
-        process
-            .admin_call("POST", "/model-servers/disable?name=s-a")
-            .await,
-        503
-    );
+    assert_eq!(process.post("/model-servers/disable?name=s-a").await, 503);
     assert!(ask(&platform.clients_address(), "hint", 1000).await.whole);
 }
--- a/tests/upgrade/processes.rs
+++ b/tests/upgrade/processes.rs
@@ -127,6 +127,11 @@
         call_once(&self.admin, text.as_bytes()).await.head.status
     }
 
+    /// Posts a command to the operators' address; the status of the answer.
+    pub async fn post(&self, target: &str) -> u16 {
+        self.admin_call("POST", target).await
+    }
+
     pub async fn wait_until_ready(&self) {
         let start = Instant::now();
         while self.admin_call("GET", "/ready").await != 200 {
@@ -158,10 +163,7 @@
 
 /// Two model servers, `s-a` and `s-b`, and the configuration of a router in front of them.
 pub async fn start_two_servers() -> (Peer, Peer, String) {
-    let (a, b) = (
-        peer(|_, _, _| answer("a")).await,
-        peer(|_, _, _| answer("b")).await,
-    );
+    let (a, b) = answering_pair().await;
     let text = config_text(
         &[
             ("s-a", &a.address, "SERVING"),
--- a/tests/upgrade/takeover.rs
+++ b/tests/upgrade/takeover.rs
@@ -109,12 +109,7 @@
     second.wait_until_ready().await;
     third.wait_until_ready().await;
     drop(silent);
-    assert_eq!(
-        third
-            .admin_call("POST", "/model-servers/disable?name=s-a")
-            .await,
-        200
-    );
+    assert_eq!(third.post("/model-servers/disable?name=s-a").await, 200);
     for process in [predecessor, second] {
         process.signal("TERM");
         assert_eq!(process.wait_for_exit().await, Some(0));
