--- a/tests/operations/exclusions.rs
+++ b/tests/operations/exclusions.rs
@@ -14,19 +14,15 @@
     let moved = peer(|_, _, _| answer("moved")).await;
     let (at_a, at_b) = (a.address.as_str(), b.address.as_str());
     let at_c = moved.address.as_str();
+    let both = [("s-a", at_a, "SERVING"), ("s-b", at_b, "SERVING")];
     let lists = [
         list(2, false, &[("s-a", at_a, "DELETED")]),
         list(3, false, &[("s-a", at_a, "SERVING")]),
         list(4, true, &[("s-b", at_b, "SERVING")]),
-        list(
-            5,
-            true,
-            &[("s-a", at_a, "SERVING"), ("s-b", at_b, "SERVING")],
-        ),
+        list(5, true, &both),
         list(6, false, &[("s-a", at_c, "SERVING")]),
     ];
     let discovery = lists_behind_gate(lists).await;
-    let both = [("s-a", at_a, "SERVING"), ("s-b", at_b, "SERVING")];
     let router = route(config(&both, Some(&discovery.address))).await;
     until("the watch", || discovery.requests() == 1).await;
     let unknown = call(&router, "POST", "/model-servers/disable?name=s-x").await;
@@ -57,13 +53,8 @@
     // all excluded: rejected at once, as waiting is useless
     disable(&router, "s-b").await;
     let start = Instant::now();
-    assert_eq!(
-        ask(&router.platform, "batch-mark", 10_000)
-            .await
-            .head
-            .status,
-        503
-    );
+    let rejected = ask(&router.platform, "batch-mark", 10_000).await;
+    assert_eq!(rejected.head.status, 503);
     assert!(
         start.elapsed() < Duration::from_secs(2),
         "{:?}",
--- a/tests/shutdown_deadline.rs
+++ b/tests/shutdown_deadline.rs
@@ -136,6 +136,30 @@
     clients
 }
 
+/// Sends the shutdown signal and delays the program; when the signal was sent, and by how much the
+/// delay became longer on a busy machine.
+async fn shut_down(
+    child: &Running,
+    ended: &watch::Sender<Option<Instant>>,
+    delay: Delay,
+) -> (Instant, Duration) {
+    let sigterm = || {
+        signal("TERM", child);
+        ended.send(Some(Instant::now())).unwrap();
+    };
+    let mut longer = Duration::ZERO;
+    match delay {
+        Delay::AtSigterm => longer = delay_program(child, sigterm).await,
+        _ => sigterm(),
+    }
+    let term = ended.borrow().unwrap();
+    if let Delay::After(ms) = delay {
+        sleep_until(term + Duration::from_millis(ms)).await;
+        longer = delay_program(child, || {}).await;
+    }
+    (term, longer)
+}
+
 /// The program is killed as early as the platform may: no request that it has read is without its
 /// complete answer.
 #[rstest]
@@ -160,20 +184,7 @@
     let (mut child, address, _log) = serve(&file).await;
     let clients = start_clients(&address, deadline, &ending, &killed).await;
     let waited = waited_for_processor(&child);
-    let sigterm = || {
-        signal("TERM", &child);
-        ended.send(Some(Instant::now())).unwrap();
-    };
-    let mut longer = Duration::ZERO;
-    match delay {
-        Delay::AtSigterm => longer = delay_program(&child, sigterm).await,
-        _ => sigterm(),
-    }
-    let term = ending.borrow().unwrap();
-    if let Delay::After(ms) = delay {
-        sleep_until(term + Duration::from_millis(ms)).await;
-        longer = delay_program(&child, || {}).await;
-    }
+    let (term, longer) = shut_down(&child, &ended, delay).await;
     let allowance = || longer + waited_for_processor(&child).saturating_sub(waited);
     sleep_until(term + ACCEPTED_IN_TIME + MAX_SCHEDULING_DELAY).await;
     let in_time = term + ACCEPTED_IN_TIME + allowance();
--- a/tests/upgrade/maintenance_state.rs
+++ b/tests/upgrade/maintenance_state.rs
@@ -10,22 +10,13 @@
 use crate::common::peers::*;
 use crate::processes::*;
 
-#[tokio::test]
-async fn maintenance_state_survives_takeover() {
-    let (a, _, config) = start_two_servers().await;
-    let platform = Platform::new(config);
-    let predecessor = platform.start().await;
-    predecessor.wait_until_ready().await;
-    assert_eq!(
-        predecessor.post("/model-servers/disable?name=s-a").await,
-        200
-    );
-    // reloading the configuration changes no exclusion
-    predecessor.signal("HUP");
-    predecessor.wait_for_log("SIGHUP").await;
-    let successor = platform.start().await;
-    successor.wait_until_ready().await;
-    // while both run, each applies the commands that the other gets
+/// Fails unless each of two processes applies the commands that the other gets; `s-a` is excluded
+/// before and after.
+async fn assert_commands_reach_both(
+    platform: &Platform,
+    predecessor: &Process,
+    successor: &Process,
+) {
     assert_eq!(predecessor.post("/drain").await, 200);
     for _ in 0..20 {
         assert!(!platform.is_healthy().await);
@@ -46,6 +37,24 @@
         predecessor.post("/model-servers/enable?name=s-b").await,
         200
     );
+}
+
+#[tokio::test]
+async fn maintenance_state_survives_takeover() {
+    let (a, _, config) = start_two_servers().await;
+    let platform = Platform::new(config);
+    let predecessor = platform.start().await;
+    predecessor.wait_until_ready().await;
+    assert_eq!(
+        predecessor.post("/model-servers/disable?name=s-a").await,
+        200
+    );
+    // reloading the configuration changes no exclusion
+    predecessor.signal("HUP");
+    predecessor.wait_for_log("SIGHUP").await;
+    let successor = platform.start().await;
+    successor.wait_until_ready().await;
+    assert_commands_reach_both(&platform, &predecessor, &successor).await;
     predecessor.signal("TERM");
     assert_eq!(predecessor.wait_for_exit().await, Some(0));
     for _ in 0..10 {
