--- a/tests/common/client.rs
+++ b/tests/common/client.rs
@@ -20,17 +20,19 @@
 pub struct Got {
     pub head: Head,
     pub body: String,
-    /// It came to its proper end.
+    /// Whether it arrived completely.
     pub whole: bool,
 }
 
 impl Got {
+    /// Its body, parsed.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_else(|e| panic!("{e}: {self:?}"))
     }
 }
 
 impl Client {
+    /// Connects to a router.
     pub async fn new(address: &str) -> Client {
         Client {
             stream: TcpStream::connect(address).await.unwrap(),
@@ -38,11 +40,12 @@
         }
     }
 
+    /// Writes these bytes.
     pub async fn send(&mut self, text: &[u8]) {
         self.stream.write_all(text).await.unwrap();
     }
 
-    /// Reads an answer; none where the connection ends without one.
+    /// Reads an answer; none where the connection closes without one.
     pub async fn answer(&mut self) -> Option<Got> {
         let head = read_response_head(&mut self.buffer, &mut self.stream)
             .await
@@ -63,7 +66,7 @@
         })
     }
 
-    /// Whether the router ends the connection over bytes that it has not read: the system resets it
+    /// Whether the router closes the connection without having read all bytes: the system resets it
     /// then. Waits for as long as a router keeps such a connection.
     pub async fn is_reset(&self) -> bool {
         let start = Instant::now();
@@ -76,6 +79,7 @@
         false
     }
 
+    /// Writes a request and reads its answer.
     pub async fn call(&mut self, text: &[u8]) -> Got {
         self.send(text).await;
         timeout(Duration::from_secs(20), self.answer())
--- a/tests/common/folder.rs
+++ b/tests/common/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of a test's own.
+//! A temporary folder of one test.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,6 +7,7 @@
 pub struct Folder(PathBuf);
 
 impl Folder {
+    /// Creates an empty folder.
     pub fn new() -> Folder {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let name = format!(
@@ -19,6 +20,7 @@
         Folder(path)
     }
 
+    /// The path of a file in it.
     pub fn path(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! The program as it is started: a child process, its files and its signals.
+//! The built program as a child process, its files and its signals.
 #![allow(dead_code)]
 
 use std::fs;
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// A file that is there for one test.
+/// A temporary file of one test, removed at its end.
 pub struct Scratch(pub PathBuf);
 
 impl Scratch {
--- a/tests/common/rule_model.rs
+++ b/tests/common/rule_model.rs
@@ -7,7 +7,7 @@
 
 use stilespan::interface::*;
 
-/// An attempt as the module was told of it.
+/// An attempt as it was reported to the module.
 pub struct ModelAttempt {
     pub replica: u64,
     pub sent: Timestamp,
--- a/tests/upgrade/processes.rs
+++ b/tests/upgrade/processes.rs
@@ -132,6 +132,7 @@
         self.admin_call("POST", target).await
     }
 
+    /// Waits until it says that it is ready.
     pub async fn wait_until_ready(&self) {
         let start = Instant::now();
         while self.admin_call("GET", "/ready").await != 200 {
@@ -140,10 +141,12 @@
         }
     }
 
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.0.id()
     }
 
+    /// Sends a signal, named without `SIG`.
     pub fn signal(&self, name: &str) {
         signal(name, &self.child);
     }
