--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,8 +1,8 @@
-//! Actions: what the decision module orders.
+//! Actions: the commands of the decision module to the router.
 
 use super::{ReplicaId, RequestId, Span, Timestamp};
 
-/// An order to the router. Actions of one step are carried out in their order.
+/// A command to the router. The actions of one step are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a request to a replica.
@@ -21,14 +21,14 @@
         /// The attempt's number within the request, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected. A retry by the client is harmless.
+    /// Give the final answer: rejected. A retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// After which time the client should retry; `None`: it is not said.
+        /// The Retry-After time that the client is given; `None`: no such time.
         retry_after: Option<Span>,
     },
-    /// Final answer: failed. Whether a retry is harmless is unknown.
+    /// Give the final answer: failed. Whether a retry is harmless is unknown.
     Fail {
         /// The request.
         request: RequestId,
@@ -40,9 +40,9 @@
     },
     /// Watch the endpoint list from now on.
     WatchEndpoints,
-    /// Step again at a given time, with [`Event::TimerFired`](super::Event::TimerFired).
+    /// Step the decision module again at a given time, with [`Event::TimerFired`](super::Event::TimerFired).
     SetTimer {
-        /// When.
+        /// The time.
         at: Timestamp,
         /// Identifies the timer; comes back with the event.
         timer_id: u64,
--- a/src/interface/class.rs
+++ b/src/interface/class.rs
@@ -32,9 +32,10 @@
 pub struct Class {
     /// Latency objective of the first token (TTFT), for a request without a prompt.
     pub first_token_objective: Span,
-    /// Added to the objective for each 1,000 prompt tokens.
+    /// Added to the first-token objective for each 1,000 prompt tokens.
     pub first_token_objective_per_1000_prompt_tokens: Span,
-    /// The objective grows by this multiple of the request's expected work, up to the deadline.
+    /// The first-token objective grows by this multiple of the request's expected work, up to the
+    /// deadline.
     pub first_token_objective_stretch: f64,
     /// Latency objective between two tokens (TPOT).
     pub token_interval_objective: Span,
@@ -42,9 +43,9 @@
     pub deadline: Span,
     /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// Where duplicates of a keyed request are dropped.
+    /// The replicas among which duplicates of a keyed request are dropped.
     pub deduplication_scope: DeduplicationScope,
-    /// For how long they are dropped, from the start of the first attempt that may have run.
+    /// How long duplicates are dropped, from the start of the first attempt that may have run.
     pub deduplication_window: Span,
     /// Priority weight: the value of an answer within the objective.
     pub priority_weight: f64,
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! Events: everything that the decision module is notified of.
+//! Events: what the decision module is notified of.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 /// A client's request as it arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Arrival {
-    /// Its id.
+    /// Its id, unique among the requests in flight.
     pub request: RequestId,
     /// Its class, an index into the settings.
     pub class: u32,
@@ -23,8 +23,8 @@
     pub shared_prefix_tokens: u32,
     /// The most tokens that the answer can have.
     pub max_output_tokens: u32,
-    /// The work expected of it, as time on a replica of weight 1; zero where the client does not
-    /// say.
+    /// The work expected of it, as time on a replica of weight 1; zero where the client states
+    /// none.
     pub expected_work: Span,
     /// When the client stops waiting for it.
     pub expires_at: Timestamp,
@@ -32,7 +32,7 @@
     pub is_retry: bool,
     /// The client sends it again because its stream broke.
     pub resumed: bool,
-    /// The model asked for; 0: any.
+    /// The requested model; 0: any.
     pub model: u32,
     /// Attempts that were made under earlier ids, for other models; they count toward
     /// [`Settings::max_attempts`](super::Settings::max_attempts).
@@ -56,12 +56,12 @@
     ConnectionReset,
     /// Cancelled by the router; it may have run.
     Cancelled,
-    /// Given up by the router before it was sent; it never ran.
+    /// Ended by the router before it was sent; it never ran.
     NeverSent,
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt never ran.
+    /// Whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -69,12 +69,12 @@
         )
     }
 
-    /// Whether it says anything about the replica.
+    /// Whether the outcome is evidence of the state of the replica.
     pub fn concerns_replica(self) -> bool {
         !matches!(self, Outcome::Cancelled | Outcome::NeverSent)
     }
 
-    /// Whether it is a fault of the replica.
+    /// Whether the outcome counts as a fault of the replica.
     pub fn is_fault(self) -> bool {
         self.concerns_replica() && self != Outcome::Completed
     }
@@ -112,12 +112,12 @@
     pub load_report: Option<LoadReport>,
 }
 
-/// What happened.
+/// An event, passed to the decision module with the next step.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list changed, or could not be fetched.
     EndpointsUpdated {
-        /// What the entries are.
+        /// Which part of the list the entries are.
         kind: EndpointListKind,
         /// The entries.
         entries: Arc<[ReplicaEntry]>,
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -5,7 +5,7 @@
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// A request of a client, as numbered by the router. Never used twice.
+/// The router's number of a client's request; unique among the requests in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
--- a/src/interface/load_report.rs
+++ b/src/interface/load_report.rs
@@ -1,4 +1,4 @@
-//! Load reports: what a replica tells of its load in answers and health checks.
+//! Load reports, which replicas send with answers and health checks.
 
 /// A value of a load report, as the settings name it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     }
 }
 
-/// The most values that a load report has.
+/// The most values that a replica is asked to report, by the platform's protocol.
 pub const MAX_LOAD_REPORT_FIELDS: usize = 4;
 
 /// A replica's load at the time of the report. A value that was not reported is `None`; reported
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,6 +1,5 @@
 //! The interface of the decision module: settings and events in, actions out, and the types of
-//! identifiers and time. Types only; what is decided belongs to `policy`, what is done with it to
-//! `core`.
+//! identifiers and time. Types only: decisions are made in `policy`, and carried out by `core`.
 
 mod action;
 mod class;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,17 +1,17 @@
-//! What the decision module is started with. The settings file and its keys belong to the callers.
+//! The settings of the decision module. The settings file and its keys belong to the callers.
 
 use super::{Class, LoadReportField, Span};
 
 /// The settings of the decision module, constant for the life of the process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many routers there are.
+    /// The number of routers in the deployment.
     pub router_count: u32,
-    /// The zone of this one.
+    /// The zone of this router.
     pub zone: u32,
     /// The least time between two steps.
     pub step_interval: Span,
-    /// The endpoint list comes only on request (a poll or a watch), and is not pushed.
+    /// The endpoint list has to be requested (by a poll or a watch), and is not pushed.
     pub endpoints_on_request: bool,
     /// A change of the endpoint list counts as notified this long after it, at the latest, even
     /// where the list was not requested.
@@ -38,9 +38,9 @@
     pub max_retry_after: Span,
     /// The most attempts of a request.
     pub max_attempts: u32,
-    /// A connection that is idle for so long is closed.
+    /// A connection that is idle for this long is closed.
     pub idle_connection_timeout: Span,
-    /// Cost of an attempt in another zone, in units of priority weight, as the costs below.
+    /// Cost of an attempt in another zone, in units of priority weight, like the costs below.
     pub cross_zone_cost: f64,
     /// Cost of a new connection.
     pub connection_cost: f64,
@@ -48,7 +48,7 @@
     pub wasted_work_cost: f64,
     /// Cost of a health check.
     pub health_check_cost: f64,
-    /// Attempts at a draining or removed replica end within this.
+    /// Attempts at a draining or removed replica have to end within this.
     pub drain_grace: Span,
     /// A replica that is warming up fails when it is sent more than this multiple of its capacity
     /// within [`Settings::overload_window`].
--- a/src/interface/time.rs
+++ b/src/interface/time.rs
@@ -45,7 +45,7 @@
         Span(micros.round().clamp(0.0, Span::MAX.0 as f64) as u64)
     }
 
-    /// In whole microseconds.
+    /// Its whole microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
@@ -55,7 +55,7 @@
         self.0 == 0
     }
 
-    /// In seconds.
+    /// Its seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
@@ -81,7 +81,7 @@
         Timestamp(seconds.saturating_mul(MICROS_PER_SECOND))
     }
 
-    /// In whole microseconds.
+    /// Its whole microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
@@ -91,7 +91,7 @@
         self.0 == 0
     }
 
-    /// In seconds.
+    /// Its seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,17 @@
 //! stilespan: a request router for fleets of language-model servers.
 //!
-//! The decisions stand in [`policy`]: one [`Balancer`] is told everything that happens as
-//! [`interface::Event`]s and hands back [`interface::Action`]s; it does no I/O and reads no clock.
-//! [`core`] drives it and knows no wire; [`net`] speaks the platform's protocol; [`router`] puts
-//! them together.
+//! A client's request arrives at a front end: [`net`] (the platform's protocol), [`edge`] (the
+//! public chat API, with [`identity`], [`routing`] and [`spend`]) or [`batch`] (the public batch
+//! API). The front end submits it to [`core`], which owns all requests in flight and their
+//! attempts. The core notifies the decision module, [`policy`], of what happens as
+//! [`interface::Event`]s, and carries out the [`interface::Action`]s that its [`Balancer`] returns,
+//! through the upstream connections of [`net`].
 //!
-//! An example stands in the README.
+//! The decision module does no I/O and reads no clock, so equal events give equal actions. The core
+//! knows no wire protocol. [`router`] assembles the parts, [`lifecycle`] executes operators'
+//! commands, and [`ops`] holds the state behind those.
+//!
+//! The README has an example.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 #![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used))]
