--- a/src/core/attempt_gate.rs
+++ b/src/core/attempt_gate.rs
@@ -48,10 +48,10 @@
         self.latest_start
     }
 
-    /// Requests to write the first byte. The endpoint list or the retry window by which the attempt was ordered
-    /// may no longer be in force when its connection comes up, so a late start is refused. So is
-    /// one for a client that disconnected while this process was suspended or busy, whose
-    /// disconnection no message has reported yet.
+    /// Requests to write the first byte. The endpoint list or the retry window by which the attempt
+    /// was ordered may no longer be in force when its connection comes up, so a late start is
+    /// refused. So is one for a client that disconnected while this process was suspended or busy,
+    /// whose disconnection no message has reported yet.
     pub fn try_start(&self, now: Instant) -> StartDecision {
         if now > self.latest_start {
             return StartDecision::TooLate;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The core: the part between clients and model servers that knows no wire protocol.
+//! The core: connects clients with model servers, without knowledge of any wire protocol.
 //!
 //! A front end submits a [`Request`] through a [`CoreHandle`] and receives one [`Answer`]. The
 //! core's actor ([`actor`]) turns messages into events of the decision module and carries out the
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -40,7 +40,8 @@
     },
     /// Watch the endpoint list from now on.
     WatchEndpoints,
-    /// Step the decision module again at a given time, with [`Event::TimerFired`](super::Event::TimerFired).
+    /// Step the decision module again at a given time, with
+    /// [`Event::TimerFired`](super::Event::TimerFired).
     SetTimer {
         /// The time.
         at: Timestamp,
--- a/src/interface/class.rs
+++ b/src/interface/class.rs
@@ -49,7 +49,7 @@
     pub deduplication_window: Span,
     /// Priority weight: the value of an answer within the objective.
     pub priority_weight: f64,
-    /// The part of the priority weight, from 0 to 1, that an answer after the objective keeps.
+    /// The fraction of the priority weight, from 0 to 1, that an answer after the objective keeps.
     pub late_weight: f64,
     /// The answer is streamed, so its first token is reported.
     pub streaming: bool,
--- a/src/interface/load_report.rs
+++ b/src/interface/load_report.rs
@@ -7,7 +7,7 @@
     InFlight,
     /// Requests queued.
     Queued,
-    /// The part of the slots in use, from 0 to 1.
+    /// The fraction of the slots in use, from 0 to 1.
     Utilization,
     /// Errors a second.
     ErrorsPerSecond,
@@ -42,7 +42,7 @@
     pub in_flight: Option<f32>,
     /// Requests queued.
     pub queued: Option<f32>,
-    /// The part of the slots in use, from 0 to 1.
+    /// The fraction of the slots in use, from 0 to 1.
     pub utilization: Option<f32>,
     /// Errors a second.
     pub errors_per_second: Option<f32>,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -20,7 +20,8 @@
     pub classes: Vec<Class>,
     /// The tenants' quotas, in requests a second over all routers; infinite where there is none.
     pub quotas: Vec<f64>,
-    /// The part of its priority weight, from 0 to 1, that a request beyond its tenant's quota has.
+    /// The fraction of its priority weight, from 0 to 1, that a request beyond its tenant's quota
+    /// has.
     pub over_quota_weight: f64,
     /// A broken stream may be resumed at another replica.
     pub stream_resumption: bool,
@@ -55,7 +56,7 @@
     pub overload_factor: f64,
     /// The window over which a replica's load is compared with its capacity.
     pub overload_window: Span,
-    /// The part of its capacity, from 0 to 1, that a replica has at least when it starts.
+    /// The fraction of its capacity, from 0 to 1, that a replica has at least when it starts.
     pub slow_start_floor: f64,
     /// A replica has its full capacity this long after its start.
     pub slow_start_duration: Span,
--- a/src/lifecycle/command.rs
+++ b/src/lifecycle/command.rs
@@ -1,5 +1,5 @@
-//! The operators' commands and the errors that they are answered with. The JSON form of a command is
-//! part of the handover protocol; the texts of the errors are part of the operators' interface.
+//! The operators' commands and the errors that they are answered with. The JSON form of a command
+//! is part of the handover protocol; the texts of the errors are part of the operators' interface.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
--- a/src/ops/exclusions.rs
+++ b/src/ops/exclusions.rs
@@ -16,8 +16,8 @@
 const RESTORATION_MEMORY: Span = Span::from_secs(600);
 
 /// An exclusion, or one that ended within the last ten minutes. Inside a process its times are
-/// those of the process's clock; outside, in a file or a message, those of the wall clock as it read
-/// when they were written.
+/// those of the process's clock; outside, in a file or a message, those of the wall clock as it
+/// read when they were written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Exclusion {
--- a/src/ops/maintenance_state.rs
+++ b/src/ops/maintenance_state.rs
@@ -10,7 +10,7 @@
 /// The version of the file's format.
 const FORMAT_VERSION: u32 = 1;
 
-/// What operators have asked for and is in effect.
+/// The operators' commands that are in effect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MaintenanceState {
--- a/src/ops/metrics.rs
+++ b/src/ops/metrics.rs
@@ -1,5 +1,5 @@
-//! The router's metrics: counted where things happen, read without a message to anybody. When they
-//! change is decided by the callers; the operators' address serves the text.
+//! The router's metrics. Callers update them directly, without a message to an actor; the
+//! operators' address serves their text.
 
 use std::sync::Arc;
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,8 +1,8 @@
-//! Admission control: what is admitted where more comes than can be served in time.
+//! Admission control: which requests are admitted where more arrive than can be served in time.
 //!
-//! Under overload some requests have to be rejected, early and those worth least first. A part of
-//! the arrivals is admitted, those of the highest value for their cost; the part falls with first
-//! tokens that miss their objective and grows back with time.
+//! Under overload some requests have to be rejected, early and those of least value first. A
+//! fraction of the arrivals is admitted, those of the highest value for their cost; the fraction
+//! falls with first tokens that miss their objective and grows back with time.
 
 use std::collections::VecDeque;
 
@@ -11,44 +11,46 @@
 use super::estimators::running_mean;
 use crate::interface::{Settings, Span, Timestamp};
 
-/// The part of first tokens missed that is overload; fewer misses cut the part admitted by so much
-/// less. Value: a design choice, so that single misses of one faulty replica don't reject a third
-/// of what comes.
+/// The miss rate of first tokens that counts as full overload; a lower one cuts the admitted
+/// fraction proportionally less. Value: a design choice, so that single misses of one faulty
+/// replica don't reject a third of the arrivals.
 const OVERLOAD_MISS_RATE: f64 = 0.5;
 /// Weight of a new outcome in the running means: about the last 32 count. Value: a design choice,
 /// not measured alone.
 const OUTCOME_SAMPLE_WEIGHT: f64 = 1.0 / 32.0;
-/// The part admitted grows back in so many objectives. Value: admitted streams show their token
-/// interval only
-/// at their end, several objectives later.
+/// The time in which the admitted fraction grows back, in objectives. Value: admitted streams show
+/// their token interval only at their end, several objectives later.
 const RECOVERY_OBJECTIVES: f64 = 16.0;
-/// The least part admitted. Value: a design choice; some have to be admitted to show a recovery.
-const MIN_ADMITTED_PART: f64 = 1.0 / 64.0;
-/// Latest arrivals that a new one is compared with. Value: a design choice that bounds memory and
-/// the work of an arrival.
+/// The least fraction admitted. Value: a design choice; some requests have to be admitted to show a
+/// recovery.
+const MIN_ADMITTED_FRACTION: f64 = 1.0 / 64.0;
+/// The number of latest arrivals that a new one is compared with. Value: a design choice that
+/// bounds memory and the work of an arrival.
 const COMPARED_ARRIVALS: usize = 64;
-/// Outcomes' spacing, in objectives, before the first ones. Value: a design choice, soon replaced.
+/// The time between outcomes, in objectives, before the first ones. Value: a design choice, soon
+/// replaced.
 const INITIAL_SPACING: f64 = 0.1;
 /// Shortest and longest objective used, in seconds. Value: beyond what settings sensibly have.
 const MIN_OBJECTIVE_SECONDS: f64 = 1e-3;
 const MAX_OBJECTIVE_SECONDS: f64 = 1e3;
 
-/// What is left of a tenant's quota, in requests.
+/// A tenant's token bucket, in requests.
 #[derive(Clone, Copy, Debug)]
 struct QuotaCredit {
     requests: f64,
     as_of: Timestamp,
 }
 
-/// What is admitted, in all and of each model.
+/// Admission control, for all requests and for each model.
 #[derive(Debug, Default)]
 pub(super) struct AdmissionControl {
-    admitted_part: f64,
+    /// The fraction of arrivals that is admitted, from 0 to 1.
+    admitted_fraction: f64,
     /// The shortest latency objective of a class, in seconds.
-    objective: f64,
+    shortest_objective: f64,
     /// The running mean of the time between outcomes, in objectives.
     outcome_spacing: f64,
-    /// The running mean of first tokens that missed their objective.
+    /// The running mean of first tokens that missed their objective, from 0 to 1.
     miss_rate: f64,
     last_outcome: Timestamp,
     last_growth: Timestamp,
@@ -65,15 +67,15 @@
             requests: 0.0,
             as_of: now,
         };
-        let objective = settings
+        let shortest_objective = settings
             .classes
             .iter()
             .map(|class| class.first_token_objective.as_secs_f64())
             .fold(f64::INFINITY, f64::min)
             .clamp(MIN_OBJECTIVE_SECONDS, MAX_OBJECTIVE_SECONDS);
         AdmissionControl {
-            admitted_part: 1.0,
-            objective,
+            admitted_fraction: 1.0,
+            shortest_objective,
             outcome_spacing: INITIAL_SPACING,
             last_outcome: now,
             last_growth: now,
@@ -83,8 +85,8 @@
     }
 
     /// The shortest latency objective of a class, in seconds.
-    pub(super) fn objective(&self) -> f64 {
-        self.objective
+    pub(super) fn shortest_objective(&self) -> f64 {
+        self.shortest_objective
     }
 
     /// The control of one model's requests, so that a model whose servers fail doesn't shed what
@@ -103,7 +105,8 @@
             .or_insert_with(|| AdmissionControl::new(settings, now))
     }
 
-    /// The weight of a tenant's next request: 1 within its quota at this router, less beyond.
+    /// The weight of a tenant's next request: 1 within its quota at this router, and
+    /// [`Settings::over_quota_weight`] beyond.
     pub(super) fn tenant_weight(
         &mut self,
         settings: &Settings,
@@ -119,8 +122,8 @@
             .iter()
             .map(|class| class.first_token_objective.as_secs_f64())
             .fold(0.0, f64::max);
-        let most = (rate * longest_objective).max(1.0);
-        credit.requests = (credit.requests + rate * (now - credit.as_of).as_secs_f64()).min(most);
+        let burst = (rate * longest_objective).max(1.0);
+        credit.requests = (credit.requests + rate * (now - credit.as_of).as_secs_f64()).min(burst);
         credit.as_of = now;
         if credit.requests >= 1.0 {
             credit.requests -= 1.0;
@@ -130,8 +133,8 @@
         }
     }
 
-    /// Whether a request of this value for its cost is among the part admitted, beside the latest
-    /// arrivals. Equal values are told apart by a uniform draw from 0 to 1, or all of them would be
+    /// Whether a request of this value for its cost is admitted, compared with the latest arrivals.
+    /// Ties are broken by a uniform draw from 0 to 1, or all requests of equal value would be
     /// admitted or rejected together.
     pub(super) fn admits(&mut self, value: f64, uniform: f64, now: Timestamp) -> bool {
         self.grow(now);
@@ -144,37 +147,40 @@
                 .count() as f64
         };
         let above = count(f64::gt) + uniform * count(f64::eq);
-        above < self.admitted_part * self.recent_values.len() as f64
+        above < self.admitted_fraction * self.recent_values.len() as f64
     }
 
-    /// Whether a request admitted before still is at this value for its cost; never one below all
-    /// of the latest.
+    /// Whether a request that was admitted before still is at this value for its cost; never one
+    /// below all of the latest arrivals.
     pub(super) fn still_admits(&self, value: f64) -> bool {
         let above = self.recent_values.iter().filter(|recent| **recent > value);
-        (above.count() as f64) < self.admitted_part * self.recent_values.len() as f64
+        (above.count() as f64) < self.admitted_fraction * self.recent_values.len() as f64
     }
 
-    /// Grows the part admitted with time, not with outcomes: few admitted would mean few to grow
-    /// by.
+    /// Grows the admitted fraction with time, and not with outcomes, of which there are few while
+    /// few requests are admitted.
     fn grow(&mut self, now: Timestamp) {
-        let objectives = (now - self.last_growth).as_secs_f64() / self.objective;
+        let objectives = (now - self.last_growth).as_secs_f64() / self.shortest_objective;
         self.last_growth = now;
-        self.admitted_part = (self.admitted_part
-            + objectives / RECOVERY_OBJECTIVES * self.admitted_part.max(0.5))
+        self.admitted_fraction = (self.admitted_fraction
+            + objectives / RECOVERY_OBJECTIVES * self.admitted_fraction.max(0.5))
         .min(1.0);
     }
 
-    /// How long until all are admitted again, at the pace at which the part grows.
+    /// The time until all requests are admitted again, if none misses its objective.
     pub(super) fn time_to_full_admission(&mut self, now: Timestamp) -> Span {
         self.grow(now);
-        Span::from_secs_f64((1.0 - self.admitted_part) * RECOVERY_OBJECTIVES * self.objective)
+        Span::from_secs_f64(
+            (1.0 - self.admitted_fraction) * RECOVERY_OBJECTIVES * self.shortest_objective,
+        )
     }
 
-    /// Records a first token that came in time, or missed its objective. A miss weighs by the
-    /// outcomes' spacing, so that an objective's time of misses cuts the part alike at any rate.
+    /// Records a first token that came in time, or missed its objective. A miss is weighted by the
+    /// time between outcomes, so that misses over one objective's time cut the admitted fraction
+    /// equally at any request rate.
     pub(super) fn record_outcome(&mut self, in_time: bool, now: Timestamp) {
         self.grow(now);
-        let objectives = (now - self.last_outcome).as_secs_f64() / self.objective;
+        let objectives = (now - self.last_outcome).as_secs_f64() / self.shortest_objective;
         self.last_outcome = now;
         let missed = f64::from(u8::from(!in_time));
         running_mean::update(
@@ -186,7 +192,8 @@
         if !in_time {
             let overload = (self.miss_rate / OVERLOAD_MISS_RATE).min(1.0);
             let cut = 2.0 * self.outcome_spacing * overload;
-            self.admitted_part = (self.admitted_part * (1.0 - cut)).max(MIN_ADMITTED_PART);
+            self.admitted_fraction =
+                (self.admitted_fraction * (1.0 - cut)).max(MIN_ADMITTED_FRACTION);
         }
     }
 }
--- a/src/policy/arrival.rs
+++ b/src/policy/arrival.rs
@@ -7,13 +7,14 @@
 use super::in_flight::InFlightRequest;
 use crate::interface::{Action, Arrival, Class, Span, Timestamp};
 
-/// The part of its priority weight that a client's flagged retry has. Value: a design choice
-/// against retry storms; it has spent much of its latency objective on earlier attempts.
+/// The fraction of its priority weight that a request has which its client marked as a retry.
+/// Value: a design choice against retry storms; it has spent much of its latency objective on
+/// earlier attempts.
 const CLIENT_RETRY_WEIGHT: f64 = 0.25;
 
 impl Balancer {
-    /// A client's request came: it is queued, or rejected.
-    pub(super) fn on_arrival(&mut self, arrival: Arrival, out: &mut Vec<Action>) {
+    /// A client's request arrived: it is queued, or rejected at once.
+    pub(super) fn on_request_received(&mut self, arrival: Arrival, actions: &mut Vec<Action>) {
         let last_class = self.settings.classes.len().saturating_sub(1);
         let class_index = (arrival.class as usize).min(last_class);
         let arrival = Arrival {
@@ -24,7 +25,7 @@
             return;
         };
         let due = first_token_due(&arrival, class, self.now);
-        let expires = if class.late_weight > 0.0 {
+        let useful_until = if class.late_weight > 0.0 {
             arrival.expires_at
         } else {
             due
@@ -43,19 +44,19 @@
         let priority_weight = priority_weight * tenant_weight;
         let slow_start_slot = self.draw_slow_start_slot();
         let request = InFlightRequest {
-            expires,
+            useful_until,
             priority_weight,
             slow_start_slot,
             ..InFlightRequest::new(arrival, due, self.now)
         };
         self.requests.insert(arrival.request, request);
         self.enqueue(arrival.request);
-        let admitted = self
+        let admission = self
             .admission
-            .for_model(arrival.model, &self.settings, self.now)
-            .admits(priority_weight / cost, self.rng.random(), self.now);
-        if !admitted || !self.is_routable(arrival.request) {
-            self.complete(arrival.request, out);
+            .for_model(arrival.model, &self.settings, self.now);
+        let admitted = admission.admits(priority_weight / cost, self.rng.random(), self.now);
+        if !admitted || !self.has_eligible_replica(arrival.request) {
+            self.complete(arrival.request, actions);
         }
     }
 }
@@ -63,15 +64,17 @@
 /// When a request's first token is due: by its class's latency objective, which grows with the
 /// request's own work and its prompt, but never after the client gives up.
 fn first_token_due(arrival: &Arrival, class: &Class, now: Timestamp) -> Timestamp {
-    let stretched = class.first_token_objective.as_micros().saturating_add(
-        (class.first_token_objective_stretch * arrival.expected_work.as_micros() as f64) as u64,
-    );
-    let for_prompt = class
+    let expected_work = arrival.expected_work.as_micros() as f64;
+    let stretch = (class.first_token_objective_stretch * expected_work) as u64;
+    let objective = class.first_token_objective.as_micros();
+    let stretched = objective.saturating_add(stretch);
+    let bounded = Span::from_micros(stretched.min(class.deadline.as_micros()));
+
+    let per_1000 = class
         .first_token_objective_per_1000_prompt_tokens
-        .as_micros()
-        .saturating_mul(u64::from(arrival.prompt_tokens))
-        / 1000;
-    (now + Span::from_micros(stretched.min(class.deadline.as_micros()))
-        + Span::from_micros(for_prompt))
-    .min(arrival.expires_at)
+        .as_micros();
+    let for_prompt = per_1000.saturating_mul(u64::from(arrival.prompt_tokens)) / 1000;
+
+    let due = now + bounded + Span::from_micros(for_prompt);
+    due.min(arrival.expires_at)
 }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,6 +1,6 @@
-//! Attempts: what a send, a first token and an attempt's end change. Whether there is another
-//! attempt is decided in `retry`, a request's final answer in `completion`. What an answer shows of
-//! a replica is recorded in `measurements`.
+//! Attempts: the state changes at a send, a first token and an attempt's end. Retries are decided
+//! in `retry`, a request's final answer in `completion`. What an answer shows of a replica is
+//! recorded in `measurements`.
 
 use super::balancer::{Balancer, LastTurn, SentPrefix};
 use super::estimators::running_mean;
@@ -13,20 +13,21 @@
 /// A first token is overdue at this multiple of its predicted time. Value: a prefill model of a
 /// healthy replica errs by less.
 const OVERDUE_FACTOR: f64 = 2.0;
-/// A replica counts as full where its decode step takes this part of the token interval objective.
+/// A replica counts as full where its decode step takes this fraction of the token interval
+/// objective.
 /// Value: a design choice below 1, as streams show a full replica seconds later.
-const FULL_STEP_PART: f64 = 0.7;
+const FULL_STEP_FRACTION: f64 = 0.7;
 /// Weight of a new request in the typical tokens of one: about the last 64 count. Value: a design
 /// choice, not measured alone.
 const TYPICAL_TOKENS_SAMPLE_WEIGHT: f64 = 1.0 / 64.0;
 
 impl Balancer {
-    /// Sends a request to a replica, if the rules allow it. Every attempt starts here.
+    /// Sends a request to a replica, if that is allowed. Every attempt starts here.
     pub(super) fn send_attempt(
         &mut self,
         id: RequestId,
         index: ReplicaIndex,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if !self.may_send(id, index) {
             return;
@@ -53,9 +54,10 @@
         replica.in_flight += 1;
         replica.idle_connections.pop_back();
         request.attempts.push(attempt);
-        let timeout = (request.expires < arrival.expires_at).then(|| request.expires - self.now);
+        let timeout =
+            (request.useful_until < arrival.expires_at).then(|| request.useful_until - self.now);
         let replica_id = replica.entry.replica;
-        out.push(Action::StartAttempt {
+        actions.push(Action::StartAttempt {
             request: id,
             replica: replica_id,
             timeout,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// An attempt at a replica, with its tokens counted as dispatched there.
+    /// A new attempt at a replica; its tokens count as dispatched there from here on.
     fn new_attempt(&mut self, arrival: &Arrival, index: ReplicaIndex) -> Attempt {
         let cache_estimate = self.cache_estimate(arrival, Some(index));
         let uncached_tokens = self.uncached_by_estimate(arrival, cache_estimate);
@@ -119,18 +121,18 @@
         self.remove_awaited(id, number, &attempt);
         let replica = &mut self.replicas[attempt.replica];
         (replica.has_answered, replica.consecutive_failures) = (true, 0);
-        // where the fleet has slack a slow replica's lack of it is no reason to shed load
+        // where the fleet has slack, one slow replica without it is no reason to shed load
         let step = self
             .decode_step(attempt.replica)
             .min(self.decode_steps.full_step(self.now));
         let token_interval = self.settings.classes[class as usize]
             .token_interval_objective
             .as_secs_f64();
-        self.record_admission_outcome(model, step <= FULL_STEP_PART * token_interval);
+        self.record_admission_outcome(model, step <= FULL_STEP_FRACTION * token_interval);
     }
 
     /// An attempt ended; only its first end counts.
-    pub(super) fn on_attempt_ended(&mut self, end: AttemptEnded, out: &mut Vec<Action>) {
+    pub(super) fn on_attempt_ended(&mut self, end: AttemptEnded, actions: &mut Vec<Action>) {
         let id = end.request;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -167,7 +169,7 @@
         {
             self.set_maturity(ended.replica, self.now);
         }
-        self.retry_or_complete(id, end.outcome.is_fault(), out);
+        self.retry_or_complete(id, end.outcome.is_fault(), actions);
         self.forget_if_finished(id);
     }
 
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -15,22 +15,23 @@
 use super::in_flight::InFlightRequest;
 use super::list_poll_timer::ListPollTimer;
 use super::maturity_index::MaturityIndex;
+use super::replica::ReplicaState;
 use super::replica_table::{ReplicaIndex, ReplicaTable};
 use super::request_queue::RequestQueue;
 use crate::interface::{Action, Event, ReplicaId, RequestId, Settings, Timestamp};
 use crate::lru::LruMap;
 
-/// What is measured decays to a part of 1/e over so many first-token objectives. Value: about as
-/// long as a stream runs.
+/// The time in which measurements decay to 1/e, in first-token objectives. Value: about as long as
+/// a stream runs.
 const DECAY_OBJECTIVES: f64 = 4.0;
-/// Uncached prompt tokens of a request before the first one was sent. Value: a design choice, soon
-/// replaced.
+/// Uncached prompt tokens of a typical request before the first one was sent. Value: a design
+/// choice, soon replaced.
 const INITIAL_TYPICAL_TOKENS: f64 = 1000.0;
-/// The decode step taken at the start where no token interval objective is set, as a part of the
-/// shortest objective. Value: a step has to be far within the objective.
-const INITIAL_STEP_PART: f64 = 1.0 / 8.0;
+/// The decode step assumed at the start where no token interval objective is set, as a fraction of
+/// the shortest first-token objective. Value: a step has to be far within the objective.
+const INITIAL_STEP_FRACTION: f64 = 1.0 / 8.0;
 
-/// The session's last turn that this router sent.
+/// The last turn of a session that this router sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LastTurn {
     /// Where it was sent.
@@ -39,7 +40,7 @@
     pub(super) prompt_tokens: u32,
 }
 
-/// The shared prefix of a prompt, at a replica that it was sent to.
+/// The shared prefix of a prompt, and a replica that it was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct SentPrefix {
     /// The prefix's number.
@@ -57,7 +58,7 @@
     /// The time of the batch being handled.
     pub(super) now: Timestamp,
 
-    /// Replicas that anything is known of, listed or not. Inserted by `membership`.
+    /// All replicas of which any state is kept, listed or not. Inserted by `membership`.
     pub(super) replicas: ReplicaTable,
     /// The index of each replica. Changed by `membership`.
     pub(super) replica_index: FxHashMap<ReplicaId, ReplicaIndex>,
@@ -70,14 +71,14 @@
     /// Which replicas take requests, and when the others will. Changed by `maturity`.
     pub(super) maturity: MaturityIndex,
 
-    /// Requests that are not complete or have attempts in flight. Inserted by `arrival`, removed by
-    /// `completion`.
+    /// Requests that are not complete, or have attempts in flight. Inserted by `arrival`, removed
+    /// by `completion`.
     pub(super) requests: FxHashMap<RequestId, InFlightRequest>,
-    /// Those of them that wait to be sent. Changed by `queue`.
+    /// The requests that wait to be sent. Changed by `queue`.
     pub(super) queue: RequestQueue,
     /// Replicas that requests were sent to since `dispatch` last set their maturity.
     pub(super) dispatched_replicas: Vec<ReplicaIndex>,
-    /// What is admitted. Changed by `arrival` and, with outcomes, by `measurements`.
+    /// Admission control. Changed by `arrival` and, with outcomes, by `measurements`.
     pub(super) admission: AdmissionControl,
 
     /// Replicas of sessions' last turns. Changed by `attempts`, read by `cache_affinity`.
@@ -86,25 +87,25 @@
     pub(super) sent_prefixes: LruMap<SentPrefix, ()>,
     /// How often prompts are found cached. Changed by `measurements`.
     pub(super) prefix_cache: PrefixCacheModel,
-    /// First-token times of the fleet and its kinds. Changed by `measurements`.
+    /// First-token times of the fleet and of its kinds of machine. Changed by `measurements`.
     pub(super) throughput: FleetThroughput,
     /// The fleet's decode steps. Changed by `measurements`.
     pub(super) decode_steps: DecodeSteps,
     /// Means over load reports. Changed by `health_checks`.
     pub(super) fleet_load: FleetLoadMeans,
-    /// Uncached prompt tokens of a usual request. Changed by `attempts`.
+    /// Uncached prompt tokens of a typical request. Changed by `attempts`.
     pub(super) typical_tokens: f64,
 
-    /// The shortest time between tokens that a class has as its objective, in seconds.
+    /// The shortest token interval objective of a class, in seconds.
     pub(super) shortest_token_interval: f64,
-    /// Seconds after which a measurement counts for a part of 1/e.
+    /// Seconds in which a measurement decays to 1/e.
     pub(super) decay_seconds: f64,
-    /// The timer that was asked for and has not fired. Changed by `timers`.
+    /// The timer that is set and has not fired. Changed by `timers`.
     pub(super) timer: Option<Timestamp>,
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet.
+    /// A balancer without an endpoint list, requests or measurements.
     pub fn new(settings: Settings, seed: u64, now: Timestamp) -> Balancer {
         let mut rng = StdRng::seed_from_u64(seed);
         let shortest_token_interval = settings
@@ -113,10 +114,13 @@
             .map(|class| class.token_interval_objective.as_secs_f64())
             .fold(f64::INFINITY, f64::min);
         let admission = AdmissionControl::new(&settings, now);
-        let initial =
-            initial_prefill_model(&settings, shortest_token_interval, admission.objective());
+        let initial = initial_prefill_model(
+            &settings,
+            shortest_token_interval,
+            admission.shortest_objective(),
+        );
         let list_poll_timer = ListPollTimer::new(&settings, rng.random(), now);
-        let decay_seconds = DECAY_OBJECTIVES * admission.objective();
+        let decay_seconds = DECAY_OBJECTIVES * admission.shortest_objective();
         let classes = settings.classes.len();
         Balancer {
             rng,
@@ -145,58 +149,57 @@
         }
     }
 
-    /// Replicas that any state is kept of, listed or not.
+    /// The number of replicas of which any state is kept, listed or not.
     pub fn tracked_replicas(&self) -> usize {
         self.replicas.len()
     }
 
-    /// Listed replicas that get no requests now: those not in service, and those put off after
-    /// faults.
+    /// The number of listed replicas that get no requests now: those that are not in service, and
+    /// those in a backoff after faults.
     pub fn unavailable_replicas(&self) -> usize {
-        let present = self.replicas.iter().filter(|replica| replica.is_present());
-        present
-            .filter(|replica| {
-                let put_off = replica.consecutive_failures > 0 && replica.maturity > self.now;
-                !replica.is_in_service() || put_off
-            })
-            .count()
+        let is_unavailable = |replica: &&ReplicaState| {
+            let in_backoff = replica.consecutive_failures > 0 && replica.maturity > self.now;
+            replica.is_present() && (!replica.is_in_service() || in_backoff)
+        };
+        self.replicas.iter().filter(is_unavailable).count()
     }
 
-    /// Handles all events of a batch, then sends what can go.
-    pub fn step(&mut self, now: Timestamp, events: &[Event], out: &mut Vec<Action>) {
+    /// Handles a batch of events, then dispatches queued requests. Appends the actions to be
+    /// carried out, in their order.
+    pub fn step(&mut self, now: Timestamp, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         for event in events {
-            self.handle_event(event, out);
+            self.handle_event(event, actions);
         }
         if self.list_poll_timer.take_due(now) {
-            out.push(Action::WatchEndpoints);
+            actions.push(Action::WatchEndpoints);
         }
-        self.dispatch_queue(out);
-        self.schedule_timer(out);
+        self.dispatch_queue(actions);
+        self.schedule_timer(actions);
     }
 
-    fn handle_event(&mut self, event: &Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match *event {
             Event::EndpointsUpdated { kind, ref entries } => {
-                self.on_endpoint_list(kind, entries, out);
+                self.on_endpoints_updated(kind, entries, actions);
             }
-            Event::RequestReceived(arrival) => self.on_arrival(arrival, out),
+            Event::RequestReceived(arrival) => self.on_request_received(arrival, actions),
             Event::FirstToken {
                 request, attempt, ..
             } => {
                 self.on_first_token(request, attempt as usize);
             }
             Event::ClientDisconnected { request } => self.on_client_disconnected(request),
-            Event::AttemptEnded(end) => self.on_attempt_ended(end, out),
-            Event::TimerFired { .. } => self.on_timer(),
-            Event::HealthCheckEnded(end) => self.on_health_check(end),
+            Event::AttemptEnded(end) => self.on_attempt_ended(end, actions),
+            Event::TimerFired { .. } => self.on_timer_fired(),
+            Event::HealthCheckEnded(end) => self.on_health_check_ended(end),
             Event::PeerMessage { .. } => {}
         }
     }
 }
 
-/// The model of a first token before any has come. Latency objectives allow for prefill, so their
-/// part per token is a first guess of its cost; the base is a decode step.
+/// The prefill model before any measurement. Latency objectives allow for prefill, so their share
+/// per token is a first estimate of its cost; the base is a decode step.
 fn initial_prefill_model(
     settings: &Settings,
     shortest_token_interval: f64,
@@ -211,7 +214,7 @@
                 .as_secs_f64()
         })
         .fold(0.0, f64::max);
-    let base_seconds = shortest_token_interval.min(objective * INITIAL_STEP_PART);
+    let base_seconds = shortest_token_interval.min(objective * INITIAL_STEP_FRACTION);
     LinearModel {
         seconds_per_token: objective_per_1000.max(base_seconds / 8.0) / 1000.0,
         base_seconds,
--- a/src/policy/cache_affinity.rs
+++ b/src/policy/cache_affinity.rs
@@ -1,5 +1,5 @@
-//! Where a prompt is likely cached, and what a request costs at a replica because of it. How often
-//! that comes true is measured in `estimators::prefix_cache`.
+//! Cache affinity: where a prompt is likely cached, and what a request costs at a replica because
+//! of it. The hit rates are measured in `estimators::prefix_cache`.
 
 use super::balancer::{Balancer, LastTurn, SentPrefix};
 use super::estimators::prefix_cache::{CacheEstimate, CacheReason};
@@ -7,8 +7,8 @@
 use crate::interface::Arrival;
 
 impl Balancer {
-    /// What a request costs at a replica, beside a typical one that has nothing cached; `None`
-    /// stands for a replica that has nothing of it cached.
+    /// The cost of a request at a replica: 1, and its uncached prompt tokens there as a multiple of
+    /// a typical request's. `None` stands for a replica that has nothing of the prompt cached.
     pub(super) fn relative_cost(&self, arrival: &Arrival, replica: Option<ReplicaIndex>) -> f64 {
         1.0 + self.uncached_tokens(arrival, replica) / self.typical_tokens.max(1.0)
     }
@@ -18,7 +18,7 @@
         self.uncached_by_estimate(arrival, self.cache_estimate(arrival, replica))
     }
 
-    /// Prompt tokens that are left to prefill where this is cached.
+    /// Prompt tokens that remain to be prefilled where this much is cached.
     pub(super) fn uncached_by_estimate(&self, arrival: &Arrival, estimate: CacheEstimate) -> f64 {
         (f64::from(arrival.prompt_tokens) - self.prefix_cache.expected_tokens(estimate)).max(1.0)
     }
@@ -92,12 +92,12 @@
         }
     }
 
-    /// The session's last turn that this router sent, unless it is long ago.
+    /// The session's last turn that this router sent, while it is remembered.
     fn last_turn(&self, arrival: &Arrival) -> Option<LastTurn> {
         self.last_turns.get(&arrival.session?)
     }
 
-    /// The replica of the session's last turn, while anything is known of it.
+    /// The replica of the session's last turn, while it has an index here.
     fn last_turn_replica(&self, arrival: &Arrival) -> Option<ReplicaIndex> {
         let last = self.last_turn(arrival)?;
         self.replica_index.get(&last.replica).copied()
@@ -119,8 +119,8 @@
     }
 
     /// Where a prompt is likely cached: at the last turn's replica and at the session's home. A
-    /// shared prefix is soon cached everywhere and has no home, or every router would look for it
-    /// at one replica.
+    /// shared prefix has no home: it is soon cached everywhere, and a home would draw every
+    /// router's requests to one replica.
     pub(super) fn likely_cached_at(&self, arrival: &Arrival) -> [Option<ReplicaIndex>; 2] {
         [self.last_turn_replica(arrival), self.session_home(arrival)]
     }
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -1,4 +1,5 @@
-//! How a request ends: its final answer, where this module gives it, and when its state is dropped.
+//! How a request ends: its final answer, where the decision module gives it, and the removal of its
+//! state.
 
 use super::balancer::Balancer;
 use super::in_flight::{AttemptPhase, InFlightRequest};
@@ -6,8 +7,8 @@
 
 impl Balancer {
     /// Completes a request: rejects it, or fails it where a repeat may do harm, unless it has its
-    /// answer already. Every request that this module gives up ends here.
-    pub(super) fn complete(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// answer already. Every final answer of the decision module is given here.
+    pub(super) fn complete(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.dequeue(id);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -16,16 +17,17 @@
             let (model, class) = (request.arrival.model, request.arrival.class);
             let may_have_run = request.first_that_may_have_run().is_some();
             let retry_after = self.retry_after(model);
-            out.push(if self.client_may_repeat(class, may_have_run) {
+            let answer = if self.client_may_repeat(class, may_have_run) {
                 Action::Reject {
                     request: id,
                     retry_after,
                 }
             } else {
                 Action::Fail { request: id }
-            });
+            };
+            actions.push(answer);
             if self.settings.cancellation {
-                self.cancel_unstarted(id, out);
+                self.cancel_unstarted(id, actions);
             }
         }
         self.forget_if_finished(id);
@@ -43,22 +45,23 @@
         }
     }
 
-    /// When a client that is rejected should come back: once all of what comes is admitted again.
+    /// The Retry-After time of a client that is rejected: until all requests are admitted again.
     fn retry_after(&mut self, model: u32) -> Option<Span> {
         let admission = self.admission.for_model(model, &self.settings, self.now);
-        let recovery = self
-            .settings
-            .retry_after
-            .then(|| admission.time_to_full_admission(self.now))?;
-        Some(recovery.min(self.settings.max_retry_after)).filter(|wait| !wait.is_zero())
+        if !self.settings.retry_after {
+            return None;
+        }
+        let recovery = admission.time_to_full_admission(self.now);
+        let retry_after = recovery.min(self.settings.max_retry_after);
+        (!retry_after.is_zero()).then_some(retry_after)
     }
 
     /// Cancels the attempts of a request whose first tokens have not come.
-    fn cancel_unstarted(&self, id: RequestId, out: &mut Vec<Action>) {
+    fn cancel_unstarted(&self, id: RequestId, actions: &mut Vec<Action>) {
         let attempts = self.requests.get(&id).map(|request| &request.attempts);
         for (number, attempt) in attempts.into_iter().flatten().enumerate() {
             if attempt.phase == AttemptPhase::AwaitingFirstToken {
-                out.push(Action::CancelAttempt {
+                actions.push(Action::CancelAttempt {
                     request: id,
                     attempt: number as u32,
                 });
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,5 +1,5 @@
-//! Sends queued requests to mature replicas, the most urgent first, and sets when the replicas that
-//! took some are mature again.
+//! Sends queued requests to mature replicas, the most urgent first, and sets when those replicas
+//! are mature again.
 
 use super::balancer::Balancer;
 use super::replica_table::ReplicaIndex;
@@ -7,17 +7,19 @@
 use super::slack_budget::maturity_delay;
 use crate::interface::{Action, RequestId, Span};
 
-/// Queued requests looked at in one step. Value: a design choice that bounds the work of a step.
+/// The most queued requests that are considered in one step. Value: a design choice that bounds the
+/// work of a step.
 const MAX_QUEUE_SCAN: usize = 32;
-/// A migration is expensive where the prefill that it adds, of what another replica has cached,
-/// takes this part of the time left. Value: a design choice (docs/design/placement.md).
-const EXPENSIVE_MIGRATION_PART: f64 = 1.0 / 8.0;
+/// A migration is expensive where the prefill that it adds, of tokens that another replica has
+/// cached, takes this fraction of the remaining time. Value: a design choice
+/// (docs/design/placement.md).
+const EXPENSIVE_MIGRATION_FRACTION: f64 = 1.0 / 8.0;
 
 impl Balancer {
     /// Sends the most urgent requests that fit to mature replicas, then sets their next maturity.
-    pub(super) fn dispatch_queue(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn dispatch_queue(&mut self, actions: &mut Vec<Action>) {
         self.maturity.promote(&mut self.replicas, self.now);
-        self.reject_late(out);
+        self.reject_late(actions);
         let mut from = QueueKey::default();
         for _ in 0..MAX_QUEUE_SCAN {
             let Some(next) = self.queue.first_from(from) else {
@@ -28,11 +30,11 @@
             }
             from = next.successor();
             let id = next.request;
-            match self.select_replica(id, out) {
+            match self.select_replica(id, actions) {
                 Some(replica) if self.admits_migration(id, replica) => {
-                    self.send_attempt(id, replica, out);
+                    self.send_attempt(id, replica, actions);
                 }
-                Some(_) => self.complete(id, out),
+                Some(_) => self.complete(id, actions),
                 None => {}
             }
         }
@@ -49,7 +51,7 @@
             let step = self.decode_step(replica);
             let prefill = model.seconds_per_token * tokens + model.base_seconds.min(step);
             let delay = maturity_delay(prefill, self.strictest_token_interval(replica), step);
-            // where steps win nothing back the replica waits until the streams on it have ended
+            // where steps are too slow to catch up, the replica waits until its streams have ended
             let at = delay.map_or(self.now + self.settings.slow_start_duration, |seconds| {
                 self.now + Span::from_secs_f64(seconds)
             });
@@ -72,7 +74,7 @@
         let added_seconds = self.prefix_cache.session_hit_rate()
             * self.throughput.fleet_model(self.now).seconds_per_token
             * added_tokens;
-        let expensive = added_seconds > EXPENSIVE_MIGRATION_PART * remaining;
+        let expensive = added_seconds > EXPENSIVE_MIGRATION_FRACTION * remaining;
         let value = priority_weight / self.relative_cost(&arrival, Some(replica));
         !expensive
             || self
--- a/src/policy/estimators/decode_steps.rs
+++ b/src/policy/estimators/decode_steps.rs
@@ -1,4 +1,4 @@
-//! The decode step of the fleet, from whole streams.
+//! The fleet's decode step, from complete streams.
 
 use super::prefill_model::PRIOR_SAMPLES;
 use super::running_mean;
@@ -7,9 +7,9 @@
 
 /// Weight of a new answer: about the last 32 count. Value: a design choice, not measured alone.
 const SAMPLE_WEIGHT: f64 = 1.0 / 32.0;
-/// Part of the answers with a limit of their own that reach it. Value: a design choice.
-const ANSWERS_AT_LIMIT_PART: f64 = 0.1;
-/// The most that a step can be beside the mean. Value: limits are reached by half or more; pauses
+/// The fraction of the answers with a limit of their own that reach it. Value: a design choice.
+const ANSWERS_AT_LIMIT_FRACTION: f64 = 0.1;
+/// The longest step as a multiple of the mean. Value: limits are reached by half or more; pauses
 /// of a stream widen the tail too.
 const MAX_STEP_RATIO: f64 = 2.0;
 /// Tokens of a typical answer before the first one. Value: a design choice, soon replaced.
@@ -22,16 +22,16 @@
     max_token_limits: Vec<u32>,
     /// Tokens of a typical answer.
     answer_tokens: f64,
-    /// The step of an answer that reaches its limit, beside the mean.
+    /// The step of an answer that reaches its limit, as a multiple of the mean.
     step_ratio: f64,
     sums: StepTimeSums,
     /// A step in seconds, as long as nothing is known.
     initial_step: f64,
-    /// Seconds after which a stream counts for a part of 1/e.
+    /// Seconds in which a stream's weight decays to 1/e.
     decay_seconds: f64,
 }
 
-/// A whole stream.
+/// A complete stream.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamSample {
     /// The request's class.
@@ -40,12 +40,12 @@
     pub token_limit: u32,
     /// Seconds from its first token to its end.
     pub seconds: f64,
-    /// How slow its replica's steps are beside the fleet's.
+    /// Its replica's decode step as a multiple of the fleet's.
     pub slowness: f64,
 }
 
 impl DecodeSteps {
-    /// Nothing known yet, for so many classes.
+    /// No measurements yet, for this number of classes.
     pub fn new(classes: usize, initial_step: f64, decay_seconds: f64) -> DecodeSteps {
         DecodeSteps {
             max_token_limits: vec![0; classes],
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Records a whole stream. Returns the seconds that the fleet takes for such an answer, where
-    /// the stream shows anything of steps.
+    /// Records a complete stream. Returns the seconds that the fleet takes for such an answer,
+    /// where the stream shows anything of steps.
     ///
     /// A limit below its class's highest was set for this answer, which then comes near it; others
     /// stop far earlier, and their times would make steps look short.
@@ -74,15 +74,17 @@
         if token_limit >= *highest {
             return None;
         }
-        let (fleet_step, tokens) = (self.mean_step(now), f64::from(token_limit));
+        let fleet_step = self.mean_step(now);
+        let tokens = f64::from(token_limit);
         // answers reach their limits to different degrees; the quantile that all but
-        // ANSWERS_AT_LIMIT_PART of them stay under is taken for a whole step
+        // ANSWERS_AT_LIMIT_FRACTION of them stay under is taken for a whole step
         let above = seconds / tokens / (fleet_step * slowness) > self.step_ratio;
-        let change = if above {
-            1.0 - ANSWERS_AT_LIMIT_PART
+        let direction = if above {
+            1.0 - ANSWERS_AT_LIMIT_FRACTION
         } else {
-            -ANSWERS_AT_LIMIT_PART
-        } * SAMPLE_WEIGHT;
+            -ANSWERS_AT_LIMIT_FRACTION
+        };
+        let change = direction * SAMPLE_WEIGHT;
         self.step_ratio = (self.step_ratio * (1.0 + change)).min(MAX_STEP_RATIO);
         running_mean::update(&mut self.answer_tokens, tokens, SAMPLE_WEIGHT);
         self.sums.record(seconds, tokens, now, self.decay_seconds);
--- a/src/policy/estimators/mod.rs
+++ b/src/policy/estimators/mod.rs
@@ -1,12 +1,12 @@
-//! What the decision module has measured. Estimators turn samples into estimates and decide
-//! nothing; what follows from an estimate is decided in the modules beside this folder.
+//! Estimators: they turn samples of what the decision module measures into estimates, and decide
+//! nothing. The modules of the parent use the estimates.
 //!
 //! | estimate | module |
 //! | --- | --- |
 //! | first-token time over prompt tokens, of one series of samples | `prefill_model` |
 //! | the same of the fleet and of each kind of machine | `throughput` |
 //! | decode step, as sums and of the fleet | `step_time`, `decode_steps` |
-//! | how slow a replica is by its load reports | `replica_load` |
+//! | a replica's slowness, by its load reports | `replica_load` |
 //! | prompt tokens that a replica has cached | `prefix_cache` |
 //!
 //! `running_mean` is the arithmetic that they share.
--- a/src/policy/estimators/prefill_model.rs
+++ b/src/policy/estimators/prefill_model.rs
@@ -1,13 +1,20 @@
 //! First-token time as a linear function of prompt tokens, by least squares over samples whose
 //! weights decay. It knows no replica and no fleet: `throughput` pools these.
 
-/// Samples that a prior model counts for beside those recorded. Value: a design choice, so
-/// that a replica's own figures prevail after a few.
+/// Samples that a prior model counts for beside those recorded. Value: a design choice, so that a
+/// replica's own samples prevail after a few.
 pub const PRIOR_SAMPLES: f64 = 4.0;
 
-/// Decaying sums of 1, x, y, x^2 and xy over samples of tokens x and seconds y.
+/// A least-squares fit: decaying sums over samples of tokens and seconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LinearFit([f64; 5]);
+pub struct LinearFit {
+    /// The samples' weights.
+    weight: f64,
+    tokens: f64,
+    seconds: f64,
+    tokens_squared: f64,
+    tokens_times_seconds: f64,
+}
 
 /// Seconds as a linear function of tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -19,7 +26,7 @@
 }
 
 impl LinearModel {
-    /// The seconds that so many tokens take.
+    /// The predicted seconds for this number of tokens.
     pub fn seconds(self, tokens: f64) -> f64 {
         self.seconds_per_token * tokens + self.base_seconds
     }
@@ -32,7 +39,7 @@
         }
     }
 
-    /// This model as it decays into `other`: at `age` 1 a part of 1/e of it is left.
+    /// This model as it decays into `other`: at `age` 1 it weighs 1/e.
     pub fn decayed_towards(self, other: LinearModel, age: f64) -> LinearModel {
         let remaining = (-age).exp();
         let blend = |from: f64, to: f64| to + (from - to) * remaining;
@@ -44,15 +51,20 @@
 }
 
 impl LinearFit {
-    /// Records a first-token time; earlier samples lose the part `new_sample_weight` of theirs.
+    /// Records a first-token time; earlier samples lose the fraction `new_sample_weight` of
+    /// their weight.
     pub fn record(&mut self, tokens: f64, seconds: f64, new_sample_weight: f64) {
         self.accumulate(1.0 - new_sample_weight, 1.0, tokens, seconds);
     }
 
-    fn accumulate(&mut self, decay: f64, weight: f64, x: f64, y: f64) {
-        for (sum, value) in self.0.iter_mut().zip([1.0, x, y, x * x, x * y]) {
-            *sum = *sum * decay + weight * value;
-        }
+    /// Adds a sample of this weight, after the sums have decayed to the fraction `remaining`.
+    fn accumulate(&mut self, remaining: f64, weight: f64, tokens: f64, seconds: f64) {
+        let add = |sum: &mut f64, value: f64| *sum = *sum * remaining + weight * value;
+        add(&mut self.weight, 1.0);
+        add(&mut self.tokens, tokens);
+        add(&mut self.seconds, seconds);
+        add(&mut self.tokens_squared, tokens * tokens);
+        add(&mut self.tokens_times_seconds, tokens * seconds);
     }
 
     /// The model through the samples and through `prior`, which counts as `PRIOR_SAMPLES` around
@@ -66,7 +78,13 @@
             2.0 * typical_tokens,
             prior.seconds(2.0 * typical_tokens),
         );
-        let [n, x, y, xx, xy] = all.0;
+        let LinearFit {
+            weight: n,
+            tokens: x,
+            seconds: y,
+            tokens_squared: xx,
+            tokens_times_seconds: xy,
+        } = all;
         let slope = ((n * xy - x * y) / (n * xx - x * x)).max(0.0);
         let intercept = (y - slope * x) / n;
         if intercept >= 0.0 {
--- a/src/policy/estimators/prefix_cache.rs
+++ b/src/policy/estimators/prefix_cache.rs
@@ -1,5 +1,5 @@
-//! How much of a prompt replicas turn out to have cached where they were expected to. Where a
-//! prompt may be cached is decided in `cache_affinity`.
+//! Hit rates of prefix caches: how much of a prompt replicas have cached where that was estimated.
+//! Where a prompt may be cached is decided in `cache_affinity`.
 
 use super::running_mean;
 
@@ -8,11 +8,11 @@
 const SESSION_SAMPLE_WEIGHT: f64 = 1.0 / 8.0;
 /// Weight of a new answer in the hit rate of a [`CacheReason`]: about the last 64 count.
 const REASON_SAMPLE_WEIGHT: f64 = 1.0 / 64.0;
-/// [`PrefixCacheModel::session_hit_rate`] before the first answer, a part from 0 to 1.
+/// [`PrefixCacheModel::session_hit_rate`] before the first answer, from 0 to 1.
 /// Value: a design choice (docs/design/placement.md), soon replaced.
 const INITIAL_SESSION_HIT_RATE: f64 = 0.25;
 
-/// Why a replica may have a prompt, or its beginning, cached.
+/// Why a replica may have a prompt, or a prefix of it, cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheReason {
     /// Another router may have sent its shared prefix there.
@@ -34,9 +34,21 @@
     pub tokens: f64,
 }
 
-/// How often expectations came true.
+/// What an answer reported of a prompt.
+#[derive(Clone, Copy, Debug)]
+pub struct CacheSample {
+    /// Tokens of the prompt.
+    pub prompt_tokens: u32,
+    /// How many of them, from the first on, are a prefix that it shares with other sessions.
+    pub shared_prefix_tokens: u32,
+    /// How many of them were found cached.
+    pub cached_tokens: u32,
+}
+
+/// Running means of the fraction of estimated tokens that were found cached.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefixCacheModel {
+    /// The hit rate of each [`CacheReason`], indexed by it.
     hit_rates: [f64; 4],
     session_hit_rate: f64,
 }
@@ -56,20 +68,24 @@
         self.hit_rates[estimate.reason as usize] * estimate.tokens
     }
 
-    /// The part of a prompt beyond its shared prefix that is found cached at the session's last
+    /// The fraction of a prompt beyond its shared prefix that is found cached at the session's last
     /// replica or home. Near 0 where sessions have one turn, and any replica does as well as
     /// another.
     pub fn session_hit_rate(&self) -> f64 {
         self.session_hit_rate
     }
 
-    /// Records what an answer reported as cached, of a prompt of `prompt` tokens whose first
-    /// `shared` are a prefix that others share.
-    pub fn record(&mut self, estimate: CacheEstimate, prompt: u32, shared: u32, cached: u32) {
+    /// Records what an answer reported as cached, where `estimate` was expected.
+    pub fn record(&mut self, estimate: CacheEstimate, sample: CacheSample) {
         let CacheEstimate { reason, tokens } = estimate;
+        let CacheSample {
+            prompt_tokens,
+            shared_prefix_tokens,
+            cached_tokens,
+        } = sample;
         // a cache evicts and replicas restart, so a hit rate falls without any send
         if tokens > 0.0 {
-            let hit_rate = (f64::from(cached) / tokens).min(1.0);
+            let hit_rate = (f64::from(cached_tokens) / tokens).min(1.0);
             running_mean::update(
                 &mut self.hit_rates[reason as usize],
                 hit_rate,
@@ -77,8 +93,9 @@
             );
         }
         let by_session = matches!(reason, CacheReason::SessionHome | CacheReason::LastTurn);
-        if by_session && prompt > shared {
-            let own = f64::from(cached.saturating_sub(shared)) / f64::from(prompt - shared);
+        if by_session && prompt_tokens > shared_prefix_tokens {
+            let own_cached = f64::from(cached_tokens.saturating_sub(shared_prefix_tokens));
+            let own = own_cached / f64::from(prompt_tokens - shared_prefix_tokens);
             running_mean::update(
                 &mut self.session_hit_rate,
                 own.min(1.0),
--- a/src/policy/estimators/prefix_cache/tests.rs
+++ b/src/policy/estimators/prefix_cache/tests.rs
@@ -4,6 +4,14 @@
     CacheEstimate { reason, tokens }
 }
 
+fn sample(prompt_tokens: u32, shared_prefix_tokens: u32, cached_tokens: u32) -> CacheSample {
+    CacheSample {
+        prompt_tokens,
+        shared_prefix_tokens,
+        cached_tokens,
+    }
+}
+
 /// Sessions of one turn find their shared prefix and no more, long ones nearly all: the hit rate
 /// tells the two apart within some answers, though a prefix is a large part of a prompt.
 #[test]
@@ -13,9 +21,7 @@
         for _ in 0..16 {
             model.record(
                 estimate(CacheReason::SessionHome, 20_000.0),
-                20_000,
-                9_000,
-                cached,
+                sample(20_000, 9_000, cached),
             );
         }
         model.session_hit_rate()
@@ -24,16 +30,14 @@
     assert!(after(19_000) > 0.8, "{}", after(19_000));
 }
 
-/// What shared prefixes alone find says nothing of sessions, and no figure leaves its range on odd
+/// What shared prefixes alone find says nothing of sessions, and no rate leaves its range on odd
 /// answers.
 #[test]
 fn odd_answers_stay_in_range() {
     let mut model = PrefixCacheModel::default();
     model.record(
         estimate(CacheReason::SentPrefix, 9_000.0),
-        20_000,
-        9_000,
-        20_000,
+        sample(20_000, 9_000, 20_000),
     );
     assert_eq!(
         model.session_hit_rate(),
@@ -46,8 +50,8 @@
             CacheReason::SessionHome,
             CacheReason::LastTurn,
         ] {
-            model.record(estimate(reason, 0.0), prompt, shared, cached);
-            model.record(estimate(reason, 100.0), prompt, shared, cached);
+            model.record(estimate(reason, 0.0), sample(prompt, shared, cached));
+            model.record(estimate(reason, 100.0), sample(prompt, shared, cached));
             assert!((0.0..=100.0).contains(&model.expected_tokens(estimate(reason, 100.0))));
             assert!((0.0..=1.0).contains(&model.session_hit_rate()));
         }
--- a/src/policy/estimators/replica_load/tests.rs
+++ b/src/policy/estimators/replica_load/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A report of errors and served requests a second, and of the part of the slots in use.
+/// A report of errors and served requests a second, and of the fraction of the slots in use.
 fn report(errors: f32, served: f32, utilization: f32) -> LoadReport {
     LoadReport {
         errors_per_second: Some(errors),
@@ -53,7 +53,7 @@
             (
                 replica.slowness(fleet, NOW, 1.0),
                 replica.error_rate,
-                fleet.utilisation,
+                fleet.utilization,
                 fleet.throughput,
             )
         };
--- a/src/policy/estimators/step_time.rs
+++ b/src/policy/estimators/step_time.rs
@@ -1,5 +1,5 @@
-//! The mean time of a decode step, from the times and tokens of whole streams. Older streams weigh
-//! less. Which streams are taken in is decided by `decode_steps`.
+//! The mean time of a decode step, from the times and tokens of complete streams. Older streams
+//! weigh less. Which streams are taken in is decided by `decode_steps`.
 
 use crate::interface::Timestamp;
 
@@ -12,8 +12,7 @@
 }
 
 impl StepTimeSums {
-    /// Records a stream's time for its tokens; a stream of `decay_seconds` ago counts for a part of
-    /// 1/e.
+    /// Records a stream's time for its tokens; a stream's weight decays to 1/e in `decay_seconds`.
     pub fn record(&mut self, seconds: f64, tokens: f64, now: Timestamp, decay_seconds: f64) {
         *self = self.decayed(now, decay_seconds);
         self.seconds += seconds;
--- a/src/policy/estimators/throughput.rs
+++ b/src/policy/estimators/throughput.rs
@@ -57,8 +57,8 @@
 }
 
 impl FleetThroughput {
-    /// With the model of a replica of the mean size, which is 1 until sizes are known; what is
-    /// learned decays back to it, to a part of 1/e in `decay_seconds`.
+    /// Starts with the model of a replica of the mean size, which is 1 until sizes are known; what
+    /// is measured decays back to it, to 1/e in `decay_seconds`.
     pub fn new(initial: LinearModel, decay_seconds: f64, now: Timestamp) -> FleetThroughput {
         FleetThroughput {
             initial,
@@ -85,12 +85,12 @@
         self.largest_size = sizes.fold(0.0, f64::max);
     }
 
-    /// A size beside the mean.
+    /// A size relative to the mean.
     pub fn relative_to_mean(&self, size: f64) -> f64 {
         size / self.mean_size
     }
 
-    /// A size beside the largest.
+    /// A size relative to the largest.
     pub fn relative_to_largest(&self, size: f64) -> f64 {
         size / self.largest_size
     }
@@ -124,7 +124,8 @@
     }
 
     /// The model of a replica of the mean size. Without new first tokens it decays to the initial
-    /// one: a model beyond every latency objective would let nothing out that could correct it.
+    /// one: a model beyond every latency objective would prevent the attempts that could correct
+    /// it.
     pub fn fleet_model(&self, now: Timestamp) -> LinearModel {
         self.unit_model(now).scaled(1.0 / self.mean_size)
     }
--- a/src/policy/hash_ring.rs
+++ b/src/policy/hash_ring.rs
@@ -17,7 +17,7 @@
     pub(super) index: ReplicaIndex,
     /// The number by which all routers know it.
     pub(super) key: u64,
-    /// Its size beside the mean of the fleet.
+    /// Its size relative to the fleet's mean.
     pub(super) weight: f64,
 }
 
@@ -33,9 +33,9 @@
 pub(super) struct HashRing(Vec<RingPoint>);
 
 impl HashRing {
-    /// Points of a member of weight 1. Value: a design choice that evens out the arcs.
+    /// The points of a member of weight 1. Value: a design choice that balances the arcs.
     const POINTS_PER_WEIGHT: f64 = 8.0;
-    /// Most points of one member: bounds the ring, whatever sizes the list claims.
+    /// The most points of one member. Value: bounds the ring, whatever sizes the list claims.
     const MAX_POINTS: f64 = 64.0;
 
     /// A ring of these members.
@@ -53,7 +53,7 @@
         HashRing(ring)
     }
 
-    /// The first member from a key's hash on that is eligible.
+    /// The first eligible member at or after a key's hash, or from the ring's start.
     pub(super) fn home(
         &self,
         key: u64,
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of candidates: a request's best candidates are asked for their load reports before
+//! Health checks of candidates: load reports of a request's best candidates are requested before
 //! one of them is selected. What a report shows is measured in `estimators::replica_load`.
 
 use super::balancer::Balancer;
@@ -6,32 +6,33 @@
 use super::selection::Candidate;
 use crate::interface::{Action, HealthCheckEnded, Outcome, RequestId, Span};
 
-/// Candidates whose load is asked for ahead of one request. Value: two and four did worse on the
-/// platform's bench (docs/design/large-fleets.md).
+/// The most candidates whose load reports are requested for one request. Value: two and four did
+/// worse on the platform's bench (docs/design/large-fleets.md).
 const CHECKED_CANDIDATES: usize = 3;
-/// What was measured of a replica counts as its present state for so many shortest latency
-/// objectives. Value: a design choice (docs/design/large-fleets.md).
+/// How long a measurement counts as a replica's present state, in shortest latency objectives.
+/// Value: a design choice (docs/design/large-fleets.md).
 const RECENT_OBJECTIVES: f64 = 1.0;
-/// How long load reports are awaited, as a part of the shortest latency objective. Value: about the
-/// handshake that the request would have paid (docs/design/large-fleets.md).
-pub(super) const REPORT_WAIT_PART: f64 = 1.0 / 16.0;
+/// How long load reports are awaited, as a fraction of the shortest latency objective. Value: about
+/// the handshake that the request would have paid (docs/design/large-fleets.md).
+pub(super) const REPORT_WAIT_FRACTION: f64 = 1.0 / 16.0;
 
 impl Balancer {
-    /// The best candidate once the best few have reported their load: a report shows what all
-    /// routers together do to a replica, of which each by itself learns too little and too late.
-    /// None while reports are awaited.
+    /// The best candidate once the best few have reported their load: a report shows the load of
+    /// all routers together, of which each by itself learns too little and too late. `None` while
+    /// reports are awaited.
     ///
-    /// Candidates that have not answered within [`REPORT_WAIT_PART`] of the objective are passed
-    /// over, which also keeps a request from those that have failed without a sign. Where none has
+    /// Candidates that have not answered within [`REPORT_WAIT_FRACTION`] of the objective are
+    /// passed over, which also avoids replicas whose failure has not been noticed. Where none has
     /// answered, candidates are sampled once more, and then the best is taken.
     pub(super) fn select_reported(
         &mut self,
         id: RequestId,
         candidates: &[Candidate],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Option<ReplicaIndex> {
-        let recent = Span::from_secs_f64(RECENT_OBJECTIVES * self.admission.objective());
-        let report_wait = Span::from_secs_f64(REPORT_WAIT_PART * self.admission.objective());
+        let recent = Span::from_secs_f64(RECENT_OBJECTIVES * self.admission.shortest_objective());
+        let report_wait =
+            Span::from_secs_f64(REPORT_WAIT_FRACTION * self.admission.shortest_objective());
         let candidates = &candidates[..candidates.len().min(CHECKED_CANDIDATES)];
         let request = self.requests.get_mut(&id)?;
         if request.candidates.is_empty() {
@@ -43,7 +44,7 @@
                 if !replica.has_recent_data(self.now, recent) && !replica.load.is_awaited(self.now)
                 {
                     replica.load.mark_requested(self.now);
-                    out.push(Action::CheckHealth {
+                    actions.push(Action::CheckHealth {
                         replica: replica.entry.replica,
                     });
                 }
@@ -63,7 +64,7 @@
     }
 
     /// A health check ended.
-    pub(super) fn on_health_check(&mut self, end: HealthCheckEnded) {
+    pub(super) fn on_health_check_ended(&mut self, end: HealthCheckEnded) {
         let Some(&index) = self.replica_index.get(&end.replica) else {
             return;
         };
--- a/src/policy/in_flight.rs
+++ b/src/policy/in_flight.rs
@@ -5,18 +5,18 @@
 use super::replica_table::ReplicaIndex;
 use crate::interface::{Arrival, Span, Timestamp};
 
-/// What an attempt is doing.
+/// The phase of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptPhase {
     /// Sent; its first token has not come.
     AwaitingFirstToken,
     /// Its first token came at this time.
     Streaming { since: Timestamp },
-    /// It has ended; `never_ran`: the replica is certain not to have run it.
+    /// It has ended; `never_ran`: its outcome proves that the replica did not run it.
     Ended { never_ran: bool },
 }
 
-/// One send of a request to a replica.
+/// An attempt: one send of a request to a replica.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     /// The replica's index.
@@ -32,7 +32,7 @@
     pub(super) cache_estimate: CacheEstimate,
     /// How long the replica had to load the model first.
     pub(super) model_load_time: Span,
-    /// What it is doing.
+    /// Its phase.
     pub(super) phase: AttemptPhase,
 }
 
@@ -42,10 +42,10 @@
     pub(super) arrival: Arrival,
     /// When its first token has to come: its latency objective. The queue is ordered by it.
     pub(super) due: Timestamp,
-    /// When it is rejected unless an attempt was sent: `due`, or later where a late answer is worth
-    /// something.
-    pub(super) expires: Timestamp,
-    /// Its priority weight: what an answer in time is worth.
+    /// Until when an answer has a value: `due`, or when the client stops waiting where the class
+    /// has a late weight. A queued request is completed then, an attempt times out.
+    pub(super) useful_until: Timestamp,
+    /// Its priority weight: the value of an answer within its objective.
     pub(super) priority_weight: f64,
     /// The client still waits for a final answer.
     pub(super) awaits_answer: bool,
@@ -53,11 +53,11 @@
     pub(super) attempts: Vec<Attempt>,
     /// The warming-up replica that its next attempt may go to.
     pub(super) slow_start_slot: Option<ReplicaIndex>,
-    /// Candidates whose load reports are awaited; empty where none are.
+    /// Candidate replicas whose load reports are awaited; empty where none are.
     pub(super) candidates: Vec<ReplicaIndex>,
     /// Since when those reports are awaited.
     pub(super) candidates_since: Timestamp,
-    /// How often candidates were drawn for the present attempt.
+    /// How often candidates were sampled for its next attempt.
     pub(super) candidate_rounds: u32,
 }
 
@@ -67,7 +67,7 @@
         InFlightRequest {
             arrival,
             due,
-            expires: due,
+            useful_until: due,
             priority_weight: 1.0,
             awaits_answer: true,
             attempts: Vec::new(),
--- a/src/policy/maturity.rs
+++ b/src/policy/maturity.rs
@@ -1,12 +1,13 @@
-//! When each replica takes requests again. A replica is mature while it does; after a send it
-//! matures once what it was sent is done, after a fault once a backoff has passed.
+//! When each replica takes requests again. A replica is mature while it does. After a send it
+//! matures once its new requests are prefilled and the decode steps that this delayed are caught
+//! up; after a fault, once a backoff has passed.
 
 use super::balancer::Balancer;
 use super::replica_table::ReplicaIndex;
 use crate::interface::{Span, Timestamp};
 
-/// Faults in a row that still double the backoff. Value: a design choice; 64 times the first token
-/// of a typical request.
+/// Consecutive faults that still double the backoff. Value: a design choice; 64 times the first
+/// token of a typical request.
 const MAX_DOUBLINGS: u32 = 6;
 
 impl Balancer {
@@ -19,13 +20,13 @@
     pub(super) fn set_maturity(&mut self, index: ReplicaIndex, at: Timestamp) {
         self.maturity.remove(&mut self.replicas, index);
         self.replicas[index].maturity = at;
-        self.maturity.file(&mut self.replicas, index, self.now);
+        self.maturity.insert(&mut self.replicas, index, self.now);
     }
 
-    /// Puts a replica off after a fault: the backoff doubles with each in a row, from the first
-    /// token of a typical request. What the failed attempt itself took doesn't count, or one late
-    /// answer of a busy replica would send all sessions cached there to be prefilled anew
-    /// elsewhere.
+    /// Starts a replica's backoff after a fault: it doubles with each consecutive one, from the
+    /// first-token time of a typical request. The duration of the failed attempt doesn't count, or
+    /// one late answer of a busy replica would migrate all sessions cached there, to be prefilled
+    /// anew elsewhere.
     pub(super) fn record_fault(&mut self, index: ReplicaIndex) {
         let least = self
             .throughput
--- a/src/policy/maturity_index.rs
+++ b/src/policy/maturity_index.rs
@@ -1,5 +1,5 @@
-//! The replicas by when they take requests, as a data structure. When that is is decided in
-//! `maturity`.
+//! An index of the replicas by when they take requests, as a data structure. The times are decided
+//! in `maturity`.
 
 use std::collections::BTreeSet;
 
@@ -37,24 +37,24 @@
         self.maturing.first().map(|replica| replica.at)
     }
 
-    /// Takes a replica out, after which its maturity may change.
+    /// Removes a replica; its maturity may change then.
     pub(super) fn remove(&mut self, replicas: &mut ReplicaTable, index: ReplicaIndex) {
         let at = replicas[index].maturity;
         self.maturing.remove(&MaturingReplica { at, index });
         self.remove_mature(replicas, index);
     }
 
-    /// Files the replicas that have matured since among the mature ones.
+    /// Moves the replicas that have matured by now to the mature ones.
     pub(super) fn promote(&mut self, replicas: &mut ReplicaTable, now: Timestamp) {
         while let Some(&next) = self.maturing.first()
             && next.at <= now
         {
             self.maturing.pop_first();
-            self.file(replicas, next.index, now);
+            self.insert(replicas, next.index, now);
         }
     }
 
-    /// Takes a replica out of the mature ones, if it is among them.
+    /// Removes a replica from the mature ones, if it is among them.
     fn remove_mature(&mut self, replicas: &mut ReplicaTable, index: ReplicaIndex) {
         if let Some(position) = replicas[index].mature_position.take() {
             self.mature.swap_remove(position);
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Files a replica among the mature or the maturing ones, or neither if it is not in service.
-    pub(super) fn file(
+    /// Inserts a replica among the mature or the maturing ones, or neither if it is not in service.
+    pub(super) fn insert(
         &mut self,
         replicas: &mut ReplicaTable,
         index: ReplicaIndex,
@@ -87,13 +87,13 @@
         }
     }
 
-    /// Files all replicas anew.
+    /// Rebuilds the index from all replicas.
     pub(super) fn rebuild(&mut self, replicas: &mut ReplicaTable, now: Timestamp) {
         self.mature.clear();
         self.maturing.clear();
         for index in replicas.indices() {
             replicas[index].mature_position = None;
-            self.file(replicas, index, now);
+            self.insert(replicas, index, now);
         }
     }
 }
--- a/src/policy/maturity_index/tests.rs
+++ b/src/policy/maturity_index/tests.rs
@@ -48,6 +48,6 @@
     assert_eq!(index.mature().len(), 3);
     assert_positions(&index, &replicas);
     replicas[first].listed = false;
-    index.file(&mut replicas, first, Timestamp::from_secs(9));
+    index.insert(&mut replicas, first, Timestamp::from_secs(9));
     assert_eq!((index.mature().len(), index.next()), (3, None));
 }
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -1,14 +1,15 @@
-//! What is taken from outcomes into the estimators and into admission control.
+//! Records outcomes of attempts in the estimators and in admission control.
 
 use super::balancer::Balancer;
 use super::estimators::decode_steps::StreamSample;
+use super::estimators::prefix_cache::CacheSample;
 use super::estimators::throughput::PrefillSample;
 use super::in_flight::{Attempt, AttemptPhase};
 use super::replica_table::ReplicaIndex;
 use crate::interface::{Arrival, AttemptEnded};
 
-/// Weight of a new sample in a replica's own figures: about the last eight count. Value: a router
-/// of many sees few of one replica.
+/// Weight of a new sample in a replica's own measurements: about the last eight count. Value: a
+/// router of many sees few of one replica.
 pub(super) const REPLICA_SAMPLE_WEIGHT: f64 = 1.0 / 8.0;
 
 impl Balancer {
@@ -19,7 +20,8 @@
             .record_outcome(in_time, self.now);
     }
 
-    /// Records what a whole answer shows of prefill, decode steps and the prompt's cached part.
+    /// Records what a complete answer shows of prefill, decode steps and the prompt's cached
+    /// tokens.
     pub(super) fn record_answer(
         &mut self,
         arrival: &Arrival,
@@ -28,11 +30,12 @@
     ) {
         let index = attempt.replica;
         self.replicas[index].idle_connections.push_back(self.now);
-        // what was prefilled is known at an answer's end; a sample taken before would fit prefill
-        // that was not done, or that was thought spared
-        let prefilled = end.cached_tokens.map_or(attempt.uncached_tokens, |cached| {
-            f64::from(arrival.prompt_tokens.saturating_sub(cached).max(1))
-        });
+        // what was prefilled is known at the answer's end; a sample taken before would fit prefill
+        // that was not done, or that was wrongly expected to be cached
+        let prefilled = match end.cached_tokens {
+            Some(cached) => f64::from(arrival.prompt_tokens.saturating_sub(cached).max(1)),
+            None => attempt.uncached_tokens,
+        };
         let first_token_after = match attempt.phase {
             AttemptPhase::Streaming { since } => since - attempt.sent_at,
             _ => end.elapsed,
@@ -45,14 +48,13 @@
         if let AttemptPhase::Streaming { since } = attempt.phase {
             self.record_stream(index, arrival, (self.now - since).as_secs_f64());
         }
-        if let Some(cached) = end.cached_tokens {
-            let estimate = attempt.cache_estimate;
-            self.prefix_cache.record(
-                estimate,
-                arrival.prompt_tokens,
-                arrival.shared_prefix_tokens,
-                cached,
-            );
+        if let Some(cached_tokens) = end.cached_tokens {
+            let sample = CacheSample {
+                prompt_tokens: arrival.prompt_tokens,
+                shared_prefix_tokens: arrival.shared_prefix_tokens,
+                cached_tokens,
+            };
+            self.prefix_cache.record(attempt.cache_estimate, sample);
         }
     }
 
@@ -77,7 +79,7 @@
         (replica.has_answered, replica.consecutive_failures) = (true, 0);
     }
 
-    /// Records the seconds of a whole stream from a replica.
+    /// Records the seconds of a complete stream from a replica.
     fn record_stream(&mut self, index: ReplicaIndex, arrival: &Arrival, seconds: f64) {
         let stream = StreamSample {
             class: arrival.class as usize,
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -1,6 +1,6 @@
-//! The endpoint list: which replicas there are, what a change to the list changes here, and whether
-//! a request can be served anywhere. How the list is obtained is not decided here, but for when it
-//! is polled.
+//! The endpoint list: which replicas there are, what an update of the list changes here, and
+//! whether any replica can serve a request. Obtaining the list belongs to discovery; when it is
+//! polled, to `list_poll_timer`.
 
 use rand::RngExt;
 
@@ -11,12 +11,12 @@
 use crate::interface::{Action, EndpointListKind, ReplicaEntry, RequestId, Span};
 
 impl Balancer {
-    /// The endpoint list came, or a change to it, or a poll for it failed.
-    pub(super) fn on_endpoint_list(
+    /// The complete endpoint list or a change to it arrived, or a poll for it failed.
+    pub(super) fn on_endpoints_updated(
         &mut self,
         kind: EndpointListKind,
         entries: &[ReplicaEntry],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if kind == EndpointListKind::Error {
             self.list_poll_timer
@@ -38,7 +38,7 @@
         }
         self.maturity.rebuild(&mut self.replicas, self.now);
         self.rebuild_ring();
-        self.complete_unroutable(out);
+        self.complete_unservable(actions);
     }
 
     /// Updates what is derived from the replicas in service as a whole: sizes, the ring, and when
@@ -63,20 +63,21 @@
         self.all_warm_at = last_start.map_or(self.now, |at| at + self.settings.slow_start_duration);
     }
 
-    /// Completes queued requests that no replica can serve any more: waiting for a model that has
-    /// left the list would use up the time in which the client could have another.
-    fn complete_unroutable(&mut self, out: &mut Vec<Action>) {
+    /// Completes queued requests that no replica can serve any more: waiting for a model that no
+    /// listed replica serves would use up the time in which the client could use another.
+    fn complete_unservable(&mut self, actions: &mut Vec<Action>) {
         let queued: Vec<RequestId> = self.queue.ids();
         for id in queued {
-            if !self.is_routable(id) {
-                self.complete(id, out);
+            if !self.has_eligible_replica(id) {
+                self.complete(id, actions);
             }
         }
     }
 
-    /// Whether a replica can serve a request: a warm one with its model, or the warming-up one that
-    /// it has a slow-start slot at. Before a list has come any is taken to.
-    pub(super) fn is_routable(&self, id: RequestId) -> bool {
+    /// Whether a replica is eligible for a request: one with its model that is warm, or that is
+    /// warming up and for which the request has a slow-start slot. Before the first list, one is
+    /// assumed for requests that name no model.
+    pub(super) fn has_eligible_replica(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
@@ -92,13 +93,13 @@
 
     /// Takes over a replica's entry. One that is new or has restarted loses what was measured.
     fn update_entry(&mut self, entry: &ReplicaEntry) {
-        let rating = if self.settings.weights_are_sizes {
+        let weight = if self.settings.weights_are_sizes {
             entry.weight
         } else {
             1.0
         };
         let entry = ReplicaEntry {
-            weight: rating,
+            weight,
             ..entry.clone()
         };
         let known = self.replica_index.get(&entry.replica).copied();
@@ -140,16 +141,21 @@
 
     /// The mean time until the replicas in service are mature, so that a new one is no exception.
     fn mean_time_to_maturity(&self) -> Span {
-        let in_service = self.replicas.iter().filter(|r| r.is_in_service());
-        let (sum, count) = in_service
-            .map(|replica| (replica.maturity - self.now).as_micros())
-            .fold((0, 0), |(sum, count), wait| (sum + wait, count + 1));
-        Span::from_micros(sum / count.max(1))
+        let (mut total_micros, mut count) = (0, 0);
+        for replica in self
+            .replicas
+            .iter()
+            .filter(|replica| replica.is_in_service())
+        {
+            total_micros += (replica.maturity - self.now).as_micros();
+            count += 1;
+        }
+        Span::from_micros(total_micros / count.max(1))
     }
 
     /// An index that a new replica can use again: that of one which has left the list, once no
-    /// request remembers an attempt there. Without it memory would grow with every replica there
-    /// ever was.
+    /// request has had an attempt there. Without it memory would grow with every replica that was
+    /// ever listed.
     fn vacant_index(&mut self) -> Option<ReplicaIndex> {
         let has_attempts = |index: ReplicaIndex| {
             self.requests.values().any(|request| {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,34 +1,33 @@
-//! The decision module: which replica a request is sent to, when, whether it is sent again, and
-//! what is rejected. It implements dispatch by maturity and slack budget (HFX, see the design
-//! page).
+//! The decision module: which replica a request is sent to, when, whether it is retried, and what
+//! is rejected. It implements dispatch by maturity and slack budget (HFX, see the design page).
 //!
 //! A [`Balancer`] takes [`interface::Event`]s in and returns [`interface::Action`]s. It does no
 //! I/O, reads no clock and draws from one seeded generator, so the same events give the same
-//! actions. What carries the actions out is `core`; what the platform sends and expects on the wire
-//! is `net`.
+//! actions. The actions are carried out by `core`; the platform's wire protocol belongs to `net`.
 //!
 //! [`interface::Event`]: crate::interface::Event
 //! [`interface::Action`]: crate::interface::Action
 //!
-//! # Where things are decided
+//! # Decisions
 //!
 //! | question | module |
 //! | --- | --- |
 //! | is a request admitted, or rejected on arrival | `arrival`, by `admission` |
-//! | where does it wait, and when is it given up while queued | `queue` |
-//! | when does a queued request go, and may it leave the replica that has its prompt cached | `dispatch` |
-//! | which replica gets it | `selection`, after load reports by `health_checks` |
-//! | when does a replica take requests, when is it put off after a fault | `maturity` |
-//! | how many tokens may a replica take at once | `slack_budget`, from the figures of `predictions` |
-//! | what starts an attempt, and what its outcome changes | `attempts`; what is learned: `measurements` |
-//! | may a request be sent (again) to a replica, is it retried after a failure | `retry` |
+//! | which requests are queued, and when does one leave the queue unsent | `queue` |
+//! | when is a queued request sent, and may it leave the replica that has it cached | `dispatch` |
+//! | which replica is it sent to | `selection`, after load reports by `health_checks` |
+//! | when does a replica take requests, and how long is its backoff after a fault | `maturity` |
+//! | how many tokens may a replica be sent at once | `slack_budget`, from `predictions` |
+//! | what starts an attempt, and what does its outcome change | `attempts`, `measurements` |
+//! | may a request be sent to a replica, and is it retried after a failure | `retry` |
 //! | what is its final answer: rejected, or failed | `completion` |
-//! | where is a prompt cached, what does a request cost there | `cache_affinity` |
-//! | how much does a replica get that is warming up | `slow_start` |
+//! | where is a prompt cached, and what does a request cost there | `cache_affinity` |
+//! | how much is a replica sent that is warming up | `slow_start` |
 //! | which replicas are there, and does any serve a model | `membership` |
-//! | when is the balancer called again | `timers`; when is the list polled: `list_poll_timer` |
+//! | when is the balancer stepped again | `timers` |
+//! | when is the endpoint list polled | `list_poll_timer` |
 //!
-//! # Who owns which state
+//! # State
 //!
 //! All state is in [`Balancer`], and its fields name the module that changes them. Types of state:
 //! `in_flight` (a request and its attempts), `request_queue`, `replica`, `replica_table`,
--- a/src/policy/predictions.rs
+++ b/src/policy/predictions.rs
@@ -7,17 +7,17 @@
 use super::slack_budget::slack_budget;
 use crate::interface::{Class, Span};
 
-/// A replica's slowness beside the fleet decays so many times later than the fleet's figures.
-/// Value: a design choice, as kinds of machines don't change.
+/// How many times slower a replica's slowness relative to the fleet decays than the fleet's own
+/// measurements. Value: a design choice, as kinds of machines don't change.
 const SLOWNESS_DECAY_FACTOR: f64 = 4.0;
 /// The token interval objective assumed where nothing is queued or streams, as a multiple of the
 /// shortest. Value: beyond any objective, so that it limits nothing.
-const UNLIMITED_PACE_FACTOR: f64 = 1e3;
+const UNLIMITED_INTERVAL_FACTOR: f64 = 1e3;
 
 impl Balancer {
     /// The shortest span of the classes that have requests among these counts, in seconds; infinite
     /// where none has.
-    fn strictest(&self, counts: &[u32], span: fn(&Class) -> Span) -> f64 {
+    fn shortest(&self, counts: &[u32], span: fn(&Class) -> Span) -> f64 {
         counts
             .iter()
             .zip(&self.settings.classes)
@@ -26,20 +26,16 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// The shortest token interval objective of our requests on a replica, else of those queued, in
-    /// seconds.
+    /// The shortest token interval objective of this router's requests at a replica, else of those
+    /// queued, in seconds.
     pub(super) fn strictest_token_interval(&self, index: ReplicaIndex) -> f64 {
-        let in_flight = self.strictest(&self.replicas[index].in_flight_by_class, |c| {
-            c.token_interval_objective
-        });
+        let token_interval = |class: &Class| class.token_interval_objective;
+        let in_flight = self.shortest(&self.replicas[index].in_flight_by_class, token_interval);
         if in_flight.is_finite() {
-            in_flight
-        } else {
-            self.strictest(self.queue.by_class(), |class| {
-                class.token_interval_objective
-            })
-            .min(self.shortest_token_interval * UNLIMITED_PACE_FACTOR)
+            return in_flight;
         }
+        let queued = self.shortest(self.queue.by_class(), token_interval);
+        queued.min(self.shortest_token_interval * UNLIMITED_INTERVAL_FACTOR)
     }
 
     /// Seconds of a replica's decode step.
@@ -48,7 +44,7 @@
         (step * self.slowness(index)).max(self.shortest_token_interval / 2.0)
     }
 
-    /// How slow a replica's decode steps are beside the fleet's.
+    /// A replica's decode step as a multiple of the fleet's.
     pub(super) fn slowness(&self, index: ReplicaIndex) -> f64 {
         let typical_seconds = self.decode_steps.typical_answer_seconds(self.now);
         self.replicas[index]
@@ -57,7 +53,7 @@
             .mean_with_prior(1.0, typical_seconds)
     }
 
-    /// Seconds after which what was measured of a replica's slowness counts for a part of 1/e.
+    /// Seconds in which what was measured of a replica's slowness decays to 1/e.
     pub(super) fn slowness_decay_seconds(&self) -> f64 {
         SLOWNESS_DECAY_FACTOR * self.decay_seconds
     }
@@ -90,7 +86,7 @@
 
     /// Prompt tokens that a replica may be sent in one step.
     pub(super) fn slack_budget(&self, index: ReplicaIndex) -> f64 {
-        let objective = self.strictest(self.queue.by_class(), |class| class.first_token_objective);
+        let objective = self.shortest(self.queue.by_class(), |class| class.first_token_objective);
         let model = self.prefill_model(index);
         slack_budget(
             model,
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,5 +1,5 @@
-//! What enters the queue and leaves it unsent: which of the queued requests can no longer have
-//! their first token in time. What leaves the queue for a replica is decided in `dispatch`.
+//! Requests that enter the queue, and those that leave it unsent because their first token can no
+//! longer come in time. Requests that are sent to a replica leave it in `dispatch`.
 
 use super::balancer::Balancer;
 use super::request_queue::QueueKey;
@@ -18,7 +18,7 @@
         self.queue.insert(key, request.arrival.class);
     }
 
-    /// Takes a request out of the queue, if it is there.
+    /// Removes a request from the queue, if it is there.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -31,22 +31,22 @@
     }
 
     /// Rejects the requests at the queue's head that can no longer have their first token in time.
-    /// Those of which a late answer is worth something wait behind the ones that can be in time.
-    pub(super) fn reject_late(&mut self, out: &mut Vec<Action>) {
+    /// Those with a late weight wait on, behind the ones that can be in time.
+    pub(super) fn reject_late(&mut self, actions: &mut Vec<Action>) {
         while let Some(head) = self.queue.first()
             && self.misses_deadline(head)
         {
             let id = head.request;
             self.dequeue(id);
             match self.requests.get_mut(&id) {
-                Some(request) if request.due < request.expires => {
-                    request.due = request.expires;
+                Some(request) if request.due < request.useful_until => {
+                    request.due = request.useful_until;
                     self.enqueue(id);
                 }
                 request => {
                     let model = request.map_or(0, |request| request.arrival.model);
                     self.record_admission_outcome(model, false);
-                    self.complete(id, out);
+                    self.complete(id, actions);
                 }
             }
         }
--- a/src/policy/replica.rs
+++ b/src/policy/replica.rs
@@ -1,6 +1,6 @@
-//! The state of one replica as this router sees it: its entry in the endpoint list, the attempts
-//! in flight there, and what was measured of it. Which fields change where: `membership` (entry,
-//! listed), `attempts` (in flight), `maturity` (maturity, failures), `estimators` (the rest).
+//! The state of one replica as this router sees it: its entry in the endpoint list, the attempts in
+//! flight there, and measurements. Fields are changed by `membership` (entry, listed), `attempts`
+//! (attempts in flight), `maturity` (maturity, failures) and `measurements` (the rest).
 
 use std::collections::VecDeque;
 
@@ -16,14 +16,14 @@
     pub(super) request: RequestId,
     /// The attempt's number.
     pub(super) attempt: usize,
-    /// From when on the first token counts as overdue.
+    /// The time from which on its first token counts as overdue.
     pub(super) overdue_at: Timestamp,
 }
 
 /// A replica as this router sees it.
 #[derive(Default)]
 pub(super) struct ReplicaState {
-    /// Its entry in the endpoint list, as it last had one.
+    /// Its latest entry in the endpoint list.
     pub(super) entry: ReplicaEntry,
     /// Whether it is in the endpoint list.
     pub(super) listed: bool,
@@ -31,13 +31,13 @@
     pub(super) prefill_fit: LinearFit,
     /// The model through them, as of the last one.
     pub(super) prefill_model: LinearModel,
-    /// When the last of them was taken in.
+    /// When the last of them was recorded.
     pub(super) measured_at: Timestamp,
     /// Whether an attempt of this router ever had a first token here.
     pub(super) has_answered: bool,
-    /// Decode steps measured here, beside the fleet's.
+    /// Decode steps measured here, relative to the fleet's.
     pub(super) step_time: StepTimeSums,
-    /// From when on it takes requests again.
+    /// The time from which on it takes requests again.
     pub(super) maturity: Timestamp,
     /// Its position among the mature replicas, while it is one.
     pub(super) mature_position: Option<usize>,
@@ -49,9 +49,9 @@
     pub(super) in_flight_by_class: Vec<u32>,
     /// Attempts in flight.
     pub(super) in_flight: u32,
-    /// Since when each idle connection to it is idle, the latest last.
+    /// The times since which connections to it are idle, the latest last.
     pub(super) idle_connections: VecDeque<Timestamp>,
-    /// Faults in a row.
+    /// Consecutive faults.
     pub(super) consecutive_failures: u32,
     /// The running mean of attempts that failed, from 0 to 1.
     pub(super) failure_rate: f64,
@@ -82,7 +82,8 @@
         self.load.is_recent(now, age) || (self.has_answered && now - self.measured_at < age)
     }
 
-    /// Its size beside the others', as the endpoint list has it; 1 where the list has none.
+    /// Its size relative to other replicas', as the endpoint list states it; 1 where it states
+    /// none.
     pub(super) fn size(&self) -> f64 {
         if self.entry.weight > 0.0 {
             self.entry.weight
--- a/src/policy/replica_table.rs
+++ b/src/policy/replica_table.rs
@@ -1,11 +1,11 @@
-//! The table of replicas that anything is known of. An index stays that of one replica while an
-//! attempt on it is in flight; which index a new replica gets is decided in `membership`.
+//! The table of all replicas of which any state is kept. An index stays that of one replica while
+//! an attempt on it is in flight; which index a new replica gets is decided in `membership`.
 
 use std::ops::{Index, IndexMut};
 
 use super::replica::ReplicaState;
 
-/// A replica's index in the table. Unlike a `ReplicaId` it means something in this process alone.
+/// A replica's index in the table. Unlike a `ReplicaId`, it is valid in this process alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ReplicaIndex(usize);
 
@@ -19,7 +19,7 @@
         self.0.len()
     }
 
-    /// Whether nothing is known of any replica.
+    /// Whether no list has named a replica yet.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/src/policy/request_queue.rs
+++ b/src/policy/request_queue.rs
@@ -1,5 +1,5 @@
-//! The queue of requests that wait to be sent, as a data structure: by the time their first tokens
-//! are due. What enters and leaves it is decided in `queue` and `dispatch`.
+//! The queue of requests that wait to be sent, as a data structure, ordered by the times at which
+//! their first tokens are due. Insertions and removals are decided in `queue` and `dispatch`.
 
 use std::collections::BTreeSet;
 
@@ -30,7 +30,7 @@
 }
 
 impl RequestQueue {
-    /// An empty queue for so many classes.
+    /// An empty queue for this number of classes.
     pub(super) fn new(classes: usize) -> RequestQueue {
         RequestQueue {
             keys: BTreeSet::new(),
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -52,7 +52,12 @@
     }
 
     /// An attempt has ended: a request with no other in flight is queued again, or completed.
-    pub(super) fn retry_or_complete(&mut self, id: RequestId, failed: bool, out: &mut Vec<Action>) {
+    pub(super) fn retry_or_complete(
+        &mut self,
+        id: RequestId,
+        failed: bool,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -61,17 +66,17 @@
         }
         let arrival = request.arrival;
         let attempts_left = request.attempt_count() < self.settings.max_attempts as usize;
-        let effect = self.settings.classes[arrival.class as usize].idempotency;
-        let repeatable =
-            effect != Idempotency::NonIdempotent || request.first_that_may_have_run().is_none();
+        let idempotency = self.settings.classes[arrival.class as usize].idempotency;
+        let repeatable = idempotency != Idempotency::NonIdempotent
+            || request.first_that_may_have_run().is_none();
         if failed && attempts_left && self.now < request.due && repeatable {
             let slot = self.draw_slow_start_slot();
             if let Some(request) = self.requests.get_mut(&id) {
                 (request.slow_start_slot, request.candidate_rounds) = (slot, 0);
             }
             self.enqueue(id);
-            if !self.is_routable(id) {
-                self.complete(id, out);
+            if !self.has_eligible_replica(id) {
+                self.complete(id, actions);
             }
             return;
         }
@@ -80,6 +85,6 @@
         if failed {
             self.record_admission_outcome(arrival.model, false);
         }
-        self.complete(id, out);
+        self.complete(id, actions);
     }
 }
--- a/src/policy/slack_budget.rs
+++ b/src/policy/slack_budget.rs
@@ -3,12 +3,12 @@
 
 use super::estimators::prefill_model::LinearModel;
 
-/// Least seconds a token by which a budget is divided. Value: below any machine's prefill.
+/// The least seconds a token by which a budget is divided. Value: below any machine's prefill.
 const MIN_SECONDS_PER_TOKEN: f64 = 1e-9;
 
 /// Seconds until a replica is mature again after `prefill` seconds of prefill: those, and the
-/// decode steps of `step` seconds that win them back at `token_interval` seconds between tokens.
-/// None where steps win nothing back.
+/// decode steps of `step` seconds in which its streams catch up, at an objective of
+/// `token_interval` seconds between tokens. `None` where steps are too slow to catch up.
 pub fn maturity_delay(prefill: f64, token_interval: f64, step: f64) -> Option<f64> {
     (token_interval > step).then(|| prefill + prefill / (token_interval - step) * step)
 }
