--- a/src/interface/load_report.rs
+++ b/src/interface/load_report.rs
@@ -1,4 +1,4 @@
-//! Load reports: what a replica tells of its load in answers and health checks.
+//! Load reports, which replicas send with answers and health checks.
 
 /// A value of a load report, as the settings name it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -7,7 +7,7 @@
     InFlight,
     /// Requests queued.
     Queued,
-    /// The part of the slots in use, from 0 to 1.
+    /// The fraction of the slots in use, from 0 to 1.
     Utilization,
     /// Errors a second.
     ErrorsPerSecond,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The most values that a load report has.
+/// The most values that a replica is asked to report, by the platform's protocol.
 pub const MAX_LOAD_REPORT_FIELDS: usize = 4;
 
 /// A replica's load at the time of the report. A value that was not reported is `None`; reported
@@ -42,7 +42,7 @@
     pub in_flight: Option<f32>,
     /// Requests queued.
     pub queued: Option<f32>,
-    /// The part of the slots in use, from 0 to 1.
+    /// The fraction of the slots in use, from 0 to 1.
     pub utilization: Option<f32>,
     /// Errors a second.
     pub errors_per_second: Option<f32>,
--- a/src/inventory/watcher.rs
+++ b/src/inventory/watcher.rs
@@ -9,7 +9,7 @@
 use tokio::time::interval;
 use tracing::{info, warn};
 
-use crate::core::{DiscoveryCommand, Endpoint, EndpointsUpdate, Message};
+use crate::core::{CoreMessage, DiscoveryCommand, Endpoint, EndpointsUpdate};
 use crate::interface::EndpointListKind;
 
 /// How often the file is checked for changes. One `stat` a check, and an operator's edit counts
@@ -32,7 +32,7 @@
 struct Watcher {
     path: PathBuf,
     localities: Vec<String>,
-    core: mpsc::Sender<Message>,
+    core: mpsc::Sender<CoreMessage>,
     /// The version of the file that was loaded last, whether or not it was valid.
     loaded_version: Option<FileVersion>,
     /// The last valid list.
@@ -45,7 +45,7 @@
     path: PathBuf,
     localities: Vec<String>,
     mut commands: mpsc::Receiver<DiscoveryCommand>,
-    core: mpsc::Sender<Message>,
+    core: mpsc::Sender<CoreMessage>,
 ) {
     let mut watcher = Watcher {
         path,
@@ -115,7 +115,7 @@
             endpoints: self.hosts.clone().unwrap_or_default(),
         };
         self.core
-            .send(Message::EndpointsUpdated(update))
+            .send(CoreMessage::EndpointsUpdated(update))
             .await
             .map_err(|_| CoreStopped)
     }
--- a/src/lifecycle/command.rs
+++ b/src/lifecycle/command.rs
@@ -1,9 +1,10 @@
-//! The operators' commands and the errors that they are answered with. The JSON form of a command is
-//! part of the handover protocol; the texts of the errors are part of the operators' interface.
+//! The operators' commands and the errors that they are answered with. The JSON form of a command
+//! is part of the handover protocol; the texts of the errors are part of the operators' interface.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
+use crate::core::MaintenanceError;
 use crate::storage::NotWritten;
 
 /// A command of an operator.
@@ -44,5 +45,14 @@
     PeerUnreachable,
 }
 
+impl From<MaintenanceError> for AdminError {
+    fn from(error: MaintenanceError) -> AdminError {
+        match error {
+            MaintenanceError::CoreStopped => AdminError::ShuttingDown,
+            MaintenanceError::UnknownServer => AdminError::UnknownServer,
+        }
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -12,7 +12,7 @@
 use super::attempt_end::{Completion, Interruption, LastChunk};
 use super::connection::{Connection, FramedHead};
 use super::response_stream::ResponseStream;
-use crate::core::{Attempt, AttemptGate, AttemptId, Message, Payload, StartDecision};
+use crate::core::{Attempt, AttemptGate, AttemptId, CoreMessage, Payload, StartDecision};
 use crate::interface::Outcome;
 use crate::net::http::Head;
 
@@ -37,7 +37,7 @@
             },
             Err(Interruption::ClientDisconnected | Interruption::CoreStopped) => return,
         };
-        let ended = Message::AttemptEnded {
+        let ended = CoreMessage::AttemptEnded {
             id,
             at: Instant::now(),
             result,
@@ -107,7 +107,7 @@
                 );
                 let _ = self
                     .messages
-                    .send(Message::ClientDisconnected {
+                    .send(CoreMessage::ClientDisconnected {
                         request: id.request,
                     })
                     .await;
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -23,7 +23,7 @@
 use tracing::debug;
 
 use super::connection_limit::ConnectionLimit;
-use crate::core::{Connector, Endpoint, Message, UpstreamCommand};
+use crate::core::{Connector, CoreMessage, Endpoint, UpstreamCommand};
 use crate::interface::ReplicaId;
 use crate::ops::metrics::Metrics;
 use pool::Pool;
@@ -57,7 +57,7 @@
     /// Counts the attempts whose request was written.
     pub metrics: Arc<Metrics>,
     /// The core's mailbox, once the core has started.
-    pub messages: Arc<OnceLock<mpsc::Sender<Message>>>,
+    pub messages: Arc<OnceLock<mpsc::Sender<CoreMessage>>>,
 }
 
 impl Connector for TcpConnector {
@@ -90,7 +90,7 @@
     options: Options,
     connection_limit: ConnectionLimit,
     metrics: Arc<Metrics>,
-    messages: mpsc::Sender<Message>,
+    messages: mpsc::Sender<CoreMessage>,
     pool: Mutex<Pool>,
 }
 
--- a/src/router/open/edge.rs
+++ b/src/router/open/edge.rs
@@ -7,7 +7,7 @@
 use tracing::info;
 
 use crate::config::{Config, ConfigError};
-use crate::core::{CoreHandle, MAILBOX_CAPACITY, Message};
+use crate::core::{CoreHandle, CoreMessage, MAILBOX_CAPACITY};
 use crate::edge::config::Book;
 use crate::edge::{Edge, members};
 use crate::error::RunError;
@@ -27,7 +27,7 @@
     pub(super) edge: Arc<Edge>,
     /// Where endpoint lists go, so that the edge asks the model servers for their models before the
     /// lists reach the core.
-    pub(super) messages: mpsc::Sender<Message>,
+    pub(super) messages: mpsc::Sender<CoreMessage>,
 }
 
 impl EdgeFile {
@@ -62,7 +62,7 @@
         self,
         config: &Config,
         core: CoreHandle,
-        core_messages: mpsc::Sender<Message>,
+        core_messages: mpsc::Sender<CoreMessage>,
         server_sockets: ConnectionLimit,
     ) -> Result<StartedEdge, ConfigError> {
         info!("{}: {}", self.path.display(), self.book.summary());
--- a/tests/common/running_core.rs
+++ b/tests/common/running_core.rs
@@ -5,7 +5,7 @@
 
 use stilespan::core::actor::{Core, CoreOptions};
 use stilespan::core::{
-    Attempt, AttemptResult, CoreHandle, DiscoveryCommand, Endpoint, EndpointsUpdate, Message,
+    Attempt, AttemptResult, CoreHandle, CoreMessage, DiscoveryCommand, Endpoint, EndpointsUpdate,
     UpstreamCommand,
 };
 use stilespan::interface::{EndpointListKind, Outcome, ReplicaId, Settings};
@@ -20,7 +20,7 @@
 /// A core, its mailbox, and the commands to its upstreams.
 pub struct RunningCore {
     pub handle: CoreHandle,
-    pub messages: mpsc::Sender<Message>,
+    pub messages: mpsc::Sender<CoreMessage>,
     opened: OpenedUpstreams,
     discovery_commands: mpsc::Receiver<DiscoveryCommand>,
 }
@@ -56,13 +56,13 @@
 
 /// Sends an endpoint list update to a core.
 pub async fn update_endpoints(
-    messages: &mpsc::Sender<Message>,
+    messages: &mpsc::Sender<CoreMessage>,
     kind: EndpointListKind,
     endpoints: Vec<Endpoint>,
 ) {
     let update = EndpointsUpdate { kind, endpoints };
     messages
-        .send(Message::EndpointsUpdated(update))
+        .send(CoreMessage::EndpointsUpdated(update))
         .await
         .unwrap();
 }
@@ -93,7 +93,7 @@
     /// Reports an outcome of an attempt.
     pub async fn report_outcome(&self, attempt: &Attempt, outcome: Outcome) {
         self.messages
-            .send(Message::AttemptEnded {
+            .send(CoreMessage::AttemptEnded {
                 id: attempt.id,
                 at: Instant::now(),
                 result: AttemptResult::from(outcome),
--- a/tests/core_races/endpoints.rs
+++ b/tests/core_races/endpoints.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use rstest::rstest;
-use stilespan::core::{Message, StartDecision};
+use stilespan::core::{CoreMessage, StartDecision};
 use stilespan::interface::{Class, EndpointListKind, EndpointState, Outcome};
 use tokio::time::{Duration, sleep, timeout};
 
@@ -83,7 +83,7 @@
         assert_eq!(attempt.gate.try_start(Instant::now()), StartDecision::Start);
         // the outcome and the disconnection are handled in one step
         core.messages
-            .try_send(Message::AttemptEnded {
+            .try_send(CoreMessage::AttemptEnded {
                 id: attempt.id,
                 at: Instant::now(),
                 result: Outcome::ConnectionReset.into(),
