--- /dev/null
+++ b/tests/edge/adapters.rs
@@ -0,0 +1,29 @@
+//! Adapters: fine-tuned models that run on the hosts of their base model.
+
+use serde_json::json;
+
+use crate::config_files::NODES;
+use crate::fixture::*;
+
+/// An adapter is loaded on its first use; from then on its host reports it.
+#[tokio::test]
+async fn adapter_runs_on_its_base() {
+    let mut host = server_spec("a", &["hint"]);
+    host.adapters = vec![("maths".into(), "hint".into())];
+    let specs = vec![host, server_spec("b", &["marker"])];
+    let fixture = EdgeFixture::start(specs, NODES).await;
+    let body = chat_body("maths", json!({"max_tokens": 5}));
+    let got = fixture.chat("lakes/north/7b", body).await;
+    assert_eq!(
+        (got.head.status, got.json()["model"].as_str()),
+        (200, Some("maths")),
+        "{got:?}"
+    );
+    let requests = fixture.tally.requests();
+    assert!(
+        requests
+            .values()
+            .flatten()
+            .all(|attempt| attempt.server == "a")
+    );
+}
--- /dev/null
+++ b/tests/edge/budgets.rs
@@ -0,0 +1,142 @@
+//! What budgets are charged.
+
+use std::time::Duration;
+
+use rstest::rstest;
+use serde_json::json;
+use standins::{End, Lie};
+
+use crate::common::peers::*;
+use crate::config_files::NODES;
+use crate::fixture::*;
+
+/// How the streams of a budget that ran out ended.
+#[derive(Default)]
+struct StreamCounts {
+    charged_tokens: u64,
+    cut: usize,
+    complete: usize,
+    rejected: usize,
+}
+
+impl StreamCounts {
+    fn record(&mut self, got: &Got) {
+        match got.head.status {
+            200 => self.record_stream(got),
+            429 => self.rejected += 1,
+            status => panic!("{status}: {got:?}"),
+        }
+    }
+
+    fn record_stream(&mut self, got: &Got) {
+        assert!(
+            got.whole && got.body.ends_with("data: [DONE]\n\n"),
+            "{got:?}"
+        );
+        self.charged_tokens += 20 + streamed_tokens(&got.body);
+        if got.body.contains("budget_exhausted") {
+            assert!(
+                got.body.contains("\"finish_reason\":\"length\"")
+                    && got.body.contains("lakes/north/7b")
+            );
+            self.cut += 1;
+        } else {
+            assert_eq!(streamed_tokens(&got.body), 60);
+            self.complete += 1;
+        }
+    }
+}
+
+/// A budget runs out during 51 concurrent streams of a node.
+#[tokio::test]
+async fn exhausted_budget_ends_streams_properly() {
+    let mut slow = server_spec("a", &["hint"]);
+    (slow.pace, slow.tokens) = (Duration::from_millis(5), 60);
+    let nodes = NODES.replace(
+        "path = \"lakes/north/7b\"",
+        "path = \"lakes/north/7b\"\nbudgets = [{ per = \"term\", tokens = 2_500 }]",
+    );
+    let fixture = EdgeFixture::start(vec![slow], &nodes).await;
+    let body = chat_body("hint", json!({"stream": true}));
+    let requests = (0..51).map(|_| fixture.chat("lakes/north/7b", body.clone()));
+    let all = futures_util::future::join_all(requests).await;
+    let mut counts = StreamCounts::default();
+    for got in &all {
+        counts.record(got);
+    }
+    assert!(
+        counts.cut > 0,
+        "{} cut, {} complete, {} rejected",
+        counts.cut,
+        counts.complete,
+        counts.rejected
+    );
+    let usage = fixture.budget("lakes/north/7b").await;
+    assert_eq!(
+        usage,
+        BudgetUsage::settled(counts.charged_tokens),
+        "charged is what was forwarded, to the token"
+    );
+    assert!(usage.used <= 2_500 + 80, "{}", usage.used);
+    until("attempts of cut streams are cancelled", || {
+        fixture.tally.running() == 0
+    })
+    .await;
+    let dropped = fixture
+        .tally
+        .requests()
+        .values()
+        .flatten()
+        .filter(|attempt| attempt.end == End::Dropped)
+        .count();
+    assert_eq!(dropped, counts.cut);
+    assert_rejected_at_once(&fixture).await;
+}
+
+/// A request beyond its budget is rejected with the budget's state.
+async fn assert_rejected_at_once(fixture: &EdgeFixture) {
+    let body = chat_body("hint", json!({"max_tokens": 90}));
+    let got = fixture.chat("lakes/north/7b", body).await;
+    assert_eq!(
+        (got.head.status, &got.json()["error"]["code"]),
+        (429, &json!("budget_exhausted"))
+    );
+    assert!(
+        got.head.get("ratelimit").is_some() && got.head.get("ratelimit-policy").is_some(),
+        "{got:?}"
+    );
+    assert!(
+        got.json()["error"]["message"]
+            .as_str()
+            .unwrap()
+            .contains("lakes/north/7b")
+    );
+}
+
+#[rstest]
+#[case::no_usage(Lie::NoUsage)]
+#[case::huge(Lie::Huge)]
+#[case::twice(Lie::Twice)]
+#[case::another_name(Lie::OtherName)]
+#[tokio::test]
+async fn misreported_usage_charges_counted_tokens(#[case] lie: Lie) {
+    let fixture = EdgeFixture::start(vec![server_spec("a", &["hint"])], NODES).await;
+    fixture.servers[0].lie(lie);
+    let body = chat_body("hint", json!({"max_tokens": 10}));
+    let got = fixture.chat("lakes/north/7b", body).await;
+    assert_eq!(
+        (got.head.status, got.head.get("x-served-model")),
+        (200, Some("hint"))
+    );
+    let reported_model = if lie == Lie::OtherName {
+        "another"
+    } else {
+        "hint"
+    };
+    assert_eq!(
+        got.json()["model"],
+        reported_model,
+        "the answer's model is what the server said"
+    );
+    assert_eq!(fixture.budget("lakes").await, BudgetUsage::settled(30));
+}
--- /dev/null
+++ b/tests/edge/config_errors.rs
@@ -0,0 +1,70 @@
+//! Errors of the edge's file, which are reported with their line.
+
+use rstest::rstest;
+use stilespan::edge::config::Book;
+use stilespan::routing::Numbers;
+
+use crate::config_files::{NODES, edge_file};
+
+#[rstest]
+#[case::cycle(
+    "fallback = \"hint\"\nclass",
+    "fallback = \"marker\"\nclass",
+    6,
+    "comes back"
+)]
+#[case::alias(
+    "model = \"marker\"\n[[price]]",
+    "model = \"none\"\n[[price]]",
+    24,
+    "leads to \"none\""
+)]
+#[case::base("base = \"hint\"", "base = \"none\"", 17, "base \"none\" is no model")]
+#[case::two_prices(
+    "[[price]]",
+    "[[price]]\nmodel = \"marker\"\nprompt = 1\nanswer = 1\n[[price]]",
+    31,
+    "two prices"
+)]
+#[case::negative("tokens = 1_000_000", "tokens = -5", 34, "tokens must be")]
+#[case::overflow(
+    "tokens = 1_000_000",
+    "tokens = 9_000_000_000_000",
+    34,
+    "tokens must be"
+)]
+#[case::beyond_64_bits("tokens = 1_000_000", "tokens = 99999999999999999999", 34, "")]
+#[case::no_zone(
+    "per = \"term\"",
+    "per = \"day\", zone = \"America/Nowhere\"",
+    34,
+    "no time zone"
+)]
+#[case::no_term("terms = [\"2020-01-01\"]", "", 34, "needs the days of terms")]
+#[case::an_unknown_setting("slice = 8", "slices = 8", 5, "slices")]
+#[case::an_orphan(
+    "path = \"lakes/south/3a\"",
+    "path = \"lakes/east/3a\"",
+    42,
+    "stands under no node"
+)]
+fn config_error_names_its_line(
+    #[case] valid: &str,
+    #[case] invalid: &str,
+    #[case] line: usize,
+    #[case] expected: &str,
+) {
+    let parse = |text: &str| {
+        let path = std::path::Path::new("edge.toml");
+        Book::parse(path, text, &["hint".to_string()], &mut Numbers::default()).map(|book| book.0)
+    };
+    let text = edge_file(NODES);
+    parse(&text).unwrap();
+    assert!(text.contains(valid), "{valid}");
+    let error = parse(&text.replacen(valid, invalid, 1)).unwrap_err();
+    let error = error.to_string();
+    assert!(
+        error.starts_with(&format!("edge.toml: line {line}: ")) && error.contains(expected),
+        "{error}"
+    );
+}
--- /dev/null
+++ b/tests/edge/main.rs
@@ -0,0 +1,17 @@
+//! Our own API over loopback sockets: models, keys and budgets, with stand-in model servers that
+//! fail.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod adapters;
+mod budgets;
+mod chat;
+mod config_errors;
+mod config_files;
+mod fallback;
+mod fixture;
+mod keys;
+mod recovery;
+mod reload;
+mod revoked_key;
--- /dev/null
+++ b/tests/edge/recovery.rs
@@ -0,0 +1,33 @@
+//! A preferred model whose hosts come back.
+
+use std::time::Duration;
+
+use serde_json::json;
+use standins::Fault;
+use tokio::time::Instant;
+
+use crate::config_files::NODES;
+use crate::fixture::*;
+
+/// The fallback rejects requests while the preferred model comes back.
+#[tokio::test]
+async fn recovered_model_is_preferred_again() {
+    let specs = vec![server_spec("m", &["marker"]), server_spec("h", &["hint"])];
+    let fixture = EdgeFixture::start(specs, NODES).await;
+    fixture.servers[0].fault(Fault::Dead);
+    fixture.servers[1].fault(Fault::Full);
+    let body = chat_body("marker", json!({"max_tokens": 5}));
+    let got = fixture.chat("lakes/north/7b", body.clone()).await;
+    assert!([502, 503].contains(&got.head.status), "{got:?}");
+    fixture.servers[0].fault(Fault::None);
+    let start = Instant::now();
+    loop {
+        let got = fixture.chat("lakes/north/7b", body.clone()).await;
+        if got.head.status == 200 {
+            assert_eq!(got.head.get("x-served-model"), Some("marker"));
+            break;
+        }
+        assert!(start.elapsed() < Duration::from_secs(20), "{got:?}");
+    }
+    fixture.assert_attempts_bounded();
+}
