--- /dev/null
+++ b/tests/edge_load/ledger_agreement.rs
@@ -0,0 +1,220 @@
+//! Requests while model servers fail, freeze and come back: what servers, clients and ledger count
+//! must agree to the token.
+
+use std::collections::HashMap;
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Duration;
+
+use serde_json::json;
+use standins::{Attempt, End, Fault, ModelServer, Spec, Tally};
+use stilespan::config::Config;
+use stilespan::router::RouterOptions;
+use tokio::time::sleep;
+
+use crate::common::folder::Folder;
+use crate::common::peers::*;
+use crate::config_files::{MODELS, SHORT_TENANT, TENANTS, api_key, write_files};
+use crate::load_client::{LoadClient, RequestRecord};
+
+/// Requests in all.
+const REQUESTS: usize = 2_000;
+/// Clients that send them.
+const CLIENTS: usize = 48;
+/// The most attempts that one request may have.
+const MAX_ATTEMPTS: usize = 3;
+
+/// A change of one server's behaviour.
+struct FaultChange {
+    /// How many requests have begun by then.
+    at_request: usize,
+    server: usize,
+    fault: Fault,
+}
+
+const FAULT_CHANGES: [FaultChange; 12] = [
+    change(150, 0, Fault::Dead),
+    change(350, 2, Fault::Freeze),
+    change(500, 0, Fault::None),
+    change(600, 1, Fault::Error),
+    change(750, 2, Fault::None),
+    change(900, 3, Fault::Break(2)),
+    change(1_000, 1, Fault::None),
+    change(1_100, 4, Fault::Full),
+    change(1_300, 3, Fault::None),
+    change(1_400, 4, Fault::None),
+    change(1_500, 0, Fault::Freeze),
+    change(1_700, 0, Fault::None),
+];
+
+const fn change(at_request: usize, server: usize, fault: Fault) -> FaultChange {
+    FaultChange {
+        at_request,
+        server,
+        fault,
+    }
+}
+
+#[tokio::test]
+async fn ledger_agrees_to_the_token() {
+    let (folder, tally) = (Folder::new(), Tally::default());
+    let servers = start_servers(&tally).await;
+    write_files(&folder, &servers);
+    let router = start_router(&folder).await;
+    let records = send_requests(&router, &servers).await;
+    assert_eq!(records.len(), REQUESTS, "each request has its one answer");
+    until("the servers are at rest", || tally.running() == 0).await;
+
+    // servers: at most three attempts, never two at once; one complete answer for each client that
+    // has one
+    let attempts = tally.requests();
+    assert_eq!(tally.overlaps(), 0);
+    assert!(attempts.values().all(|a| a.len() <= MAX_ATTEMPTS));
+    let mut totals = Totals::default();
+    for record in &records {
+        let attempts = attempts.get(&record.trace).map_or(&[][..], Vec::as_slice);
+        totals.add(record, attempts);
+    }
+    println!("{totals:?}");
+    // 989 to 1,413 are served as chance has it: enough that what is compared below stands for
+    // something
+    assert!(
+        totals.served > REQUESTS * 2 / 5 && totals.without_budget > 0 && totals.incomplete > 0,
+        "{totals:?}"
+    );
+    assert_ledger(&router, &totals.charged).await;
+}
+
+async fn start_servers(tally: &Tally) -> Vec<ModelServer> {
+    let mut servers = Vec::new();
+    for (name, models) in [
+        ("a", &["marker"][..]),
+        ("b", &["marker", "hint"]),
+        ("c", &["hint"]),
+        ("d", &["hint", "tiny"]),
+        ("e", &["tiny"]),
+    ] {
+        let spec = Spec {
+            name: name.into(),
+            models: models.iter().map(|model| model.to_string()).collect(),
+            slots: 16,
+            first: Duration::from_millis(3),
+            pace: Duration::from_micros(300),
+            ..Spec::default()
+        };
+        servers.push(ModelServer::start(spec, tally.clone()).await.unwrap());
+    }
+    servers
+}
+
+async fn start_router(folder: &Folder) -> Router {
+    let options = RouterOptions {
+        config: Config::standalone(),
+        batch: Some(batch_options(&folder.path("spool"))),
+        edge: Some(folder.path("edge.toml")),
+        inventory: Some(folder.path("hosts.csv")),
+        config_file: None,
+        inherited: None,
+    };
+    let router = start(options).await;
+    sleep(Duration::from_millis(400)).await;
+    router
+}
+
+/// Sends all requests while the servers' behaviour changes; returns their records.
+async fn send_requests(router: &Router, servers: &[ModelServer]) -> Vec<RequestRecord> {
+    let (next, records) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+    let recoveries = AtomicUsize::new(0);
+    let clients = (0..CLIENTS).map(|_| async {
+        let mut client = LoadClient::new(&router.batch);
+        loop {
+            let number = next.fetch_add(1, Ordering::SeqCst);
+            if number >= REQUESTS {
+                return;
+            }
+            apply_changes(number, servers, &recoveries);
+            let record = client.send(number).await;
+            records.lock().unwrap().push(record);
+        }
+    });
+    futures_util::future::join_all(clients).await;
+    records.into_inner().unwrap()
+}
+
+/// Applies the changes due at a request. Every other server that recovers has to warm up.
+fn apply_changes(number: usize, servers: &[ModelServer], recoveries: &AtomicUsize) {
+    for change in FAULT_CHANGES.iter().filter(|c| c.at_request == number) {
+        let server = &servers[change.server];
+        let recovers = change.fault == Fault::None;
+        if recovers && recoveries.fetch_add(1, Ordering::SeqCst).is_multiple_of(2) {
+            server.cold(10, Duration::from_millis(300));
+        } else {
+            server.fault(change.fault);
+        }
+    }
+}
+
+/// How the requests ended, and what their tenants are to be charged.
+#[derive(Debug, Default)]
+struct Totals {
+    served: usize,
+    /// Broken off by the server, or cut where the budget ended.
+    incomplete: usize,
+    without_budget: usize,
+    rejected: usize,
+    /// Tokens by tenant.
+    charged: HashMap<&'static str, u64>,
+}
+
+impl Totals {
+    /// Adds a request, and compares it with its attempts as the servers saw them.
+    fn add(&mut self, record: &RequestRecord, attempts: &[Attempt]) {
+        match record.status {
+            200 => self.add_answer(record, attempts.last().unwrap()),
+            429 => {
+                assert_eq!(record.tenant, SHORT_TENANT);
+                assert!(attempts.is_empty());
+                self.without_budget += 1;
+            }
+            502 | 503 => self.rejected += 1,
+            status => panic!("{status}"),
+        }
+    }
+
+    fn add_answer(&mut self, record: &RequestRecord, last: &Attempt) {
+        let trace = &record.trace;
+        let model = record.model.as_deref().unwrap();
+        assert_eq!(
+            (last.model.as_str(), last.prompt),
+            (model, record.prompt_tokens),
+            "{trace}"
+        );
+        if record.complete && !record.cut {
+            assert_eq!(last.end, End::Whole, "{trace}");
+            assert_eq!(last.written, record.answer_tokens, "{trace}");
+            self.served += 1;
+        } else {
+            // charged is what came
+            assert!(last.written >= record.answer_tokens, "{trace}");
+            self.incomplete += 1;
+        }
+        let price = MODELS.iter().find(|m| m.name == model).unwrap();
+        *self.charged.entry(record.tenant).or_default() +=
+            price.prompt_price * record.prompt_tokens + price.answer_price * record.answer_tokens;
+    }
+}
+
+async fn assert_ledger(router: &Router, charged: &HashMap<&'static str, u64>) {
+    let mut client = Client::new(&router.batch).await;
+    for tenant in TENANTS {
+        let request = format!(
+            "GET /v1/budgets HTTP/1.1\r\nAuthorization: Bearer {}\r\n\r\n",
+            api_key(tenant)
+        );
+        let node = client.call(request.as_bytes()).await.json()["data"][0].clone();
+        let budget = &node["budgets"][0];
+        let expected = charged.get(tenant).copied().unwrap_or(0);
+        assert_eq!(budget["reserved"], 0, "{node}");
+        assert_eq!(budget["used"], json!(expected), "{tenant}");
+    }
+}
