--- a/tests/edge/config_errors.rs
+++ b/tests/edge/config_errors.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use stilespan::edge::config::Book;
-use stilespan::routing::Numbers;
+use stilespan::routing::ModelNumbers;
 
 use crate::config_files::{NODES, edge_file};
 
@@ -56,7 +56,13 @@
 ) {
     let parse = |text: &str| {
         let path = std::path::Path::new("edge.toml");
-        Book::parse(path, text, &["hint".to_string()], &mut Numbers::default()).map(|book| book.0)
+        Book::parse(
+            path,
+            text,
+            &["hint".to_string()],
+            &mut ModelNumbers::default(),
+        )
+        .map(|book| book.0)
     };
     let text = edge_file(NODES);
     parse(&text).unwrap();
--- a/tests/edge/config_files.rs
+++ b/tests/edge/config_files.rs
@@ -58,7 +58,7 @@
 
 /// The API key of a node.
 pub fn api_key(node: &str) -> String {
-    identity::new_key(&node.replace('/', "_"), &[9; 32])
+    identity::format_key(&node.replace('/', "_"), &[9; 32])
 }
 
 /// The text of the keys' file with a key for each of these nodes.
@@ -71,7 +71,7 @@
 
 fn key_entry(node: &str) -> String {
     let key = api_key(node);
-    let (id, secret) = identity::parts(&key).unwrap();
-    let hash = identity::written(&identity::hash(secret));
+    let (id, secret) = identity::split_key(&key).unwrap();
+    let hash = identity::format_hash(&identity::hash_secret(secret));
     format!("[[key]]\nid = \"{id}\"\nnode = \"{node}\"\nhash = \"{hash}\"\n")
 }
--- a/tests/edge_load/config_files.rs
+++ b/tests/edge_load/config_files.rs
@@ -43,7 +43,7 @@
 
 /// The API key of a tenant.
 pub fn api_key(tenant: &str) -> String {
-    identity::new_key(tenant, &[5; 32])
+    identity::format_key(tenant, &[5; 32])
 }
 
 /// Writes the edge's file, the keys' file and an inventory of these servers.
@@ -90,8 +90,8 @@
 fn keys_file() -> String {
     let entry = |tenant: &str| {
         let key = api_key(tenant);
-        let (_, secret) = identity::parts(&key).unwrap();
-        let hash = identity::written(&identity::hash(secret));
+        let (_, secret) = identity::split_key(&key).unwrap();
+        let hash = identity::format_hash(&identity::hash_secret(secret));
         format!("[[key]]\nid = \"{tenant}\"\nnode = \"d/{tenant}\"\nhash = \"{hash}\"\n")
     };
     TENANTS.into_iter().map(entry).collect()
