--- a/src/batch/front/mod.rs
+++ b/src/batch/front/mod.rs
@@ -18,8 +18,7 @@
 use crate::batch::jobs::Jobs;
 use crate::batch::live::Live;
 use crate::batch::store::{FileInfo, Store, StoreError};
-use crate::edge::service::Serving;
-use crate::edge::{Caller, Edge};
+use crate::edge::{AnswerStream, Caller, Edge};
 use crate::net::http::{Body, Head, HttpError, MAX_BODY_BYTES};
 use crate::net::listener::{
     ClientConnection, ClientTimeouts, NextRequest, ReceivedBody, UnreadRemainder,
@@ -89,7 +88,7 @@
 pub(super) enum Then {
     Reply(Reply),
     Content(Box<(tokio::fs::File, FileInfo)>),
-    Chat(Box<Serving>, bool),
+    Chat(Box<AnswerStream>, bool),
 }
 
 /// Serves one client's connection to its end.
@@ -206,7 +205,7 @@
         let front = self.front.clone();
         // ahead of the body, and of anything that could be learnt without a key
         self.caller = match front.edge() {
-            Some(edge) => edge.identify(head.get("authorization"))?,
+            Some(edge) => edge.authenticate(head.get("authorization"))?,
             None => Caller::default(),
         };
         if let Some(then) = self.live(head, body, rest).await? {
--- a/src/batch/jobs/call.rs
+++ b/src/batch/jobs/call.rs
@@ -13,8 +13,7 @@
 use crate::batch::store::unix;
 use crate::batch::window::{Place, Window};
 use crate::core::{Answer, Chunk, CoreHandle};
-use crate::edge::Caller;
-use crate::edge::service::{Declined, Part, Work};
+use crate::edge::{Caller, ChatRequest, Rejection, RejectionCause, StreamItem};
 use crate::net::listener::wait_until_set;
 
 /// The first wait before a line that was turned away unsent is submitted anew; it doubles up to the
@@ -79,50 +78,51 @@
                 return Err(LineError::new("internal_error", "the line's id is in use"));
             };
             let start = Instant::now();
-            let work = Work {
+            let request = ChatRequest {
                 caller: self.caller.clone(),
                 chat,
                 class: Some(self.options.class_name.clone()),
-                patience: Some(self.options.patience),
-                received: start,
+                timeout: Some(self.options.patience),
+                received_at: start,
                 trace: trace_held,
-                live: false,
+                interactive: false,
                 client: None,
             };
-            let Declined {
+            let Rejection {
                 error,
                 attempts,
-                budget,
-                retry_in,
-                ..
-            } = match live.edge.start(work).await {
-                Ok(mut serving) => {
+                cause,
+                retry_after,
+            } = match live.edge.start(request).await {
+                Ok(mut answer) => {
                     let took = start.elapsed();
                     let mut all = Assembly::default();
                     loop {
-                        match serving.next().await {
-                            Part::Data(bytes) => all.add(&bytes),
-                            Part::Done => break,
-                            Part::Broken => {
+                        match answer.next().await {
+                            StreamItem::Data(bytes) => all.add(&bytes),
+                            StreamItem::Complete => break,
+                            StreamItem::Broken => {
                                 let message = "the answer broke off; it may have run";
                                 return Err(LineError::new("answer_broken", message));
                             }
                         }
                     }
                     held.served(took);
-                    return all.finish(trace, unix(), &serving.model().into());
+                    return all.finish(trace, unix(), &answer.model().into());
                 }
-                Err(declined) => declined,
+                Err(rejection) => rejection,
             };
-            match (error.status, budget) {
+            match (error.status, cause) {
                 // a budget that refills lets the line go on then; it holds no place in the window
                 // meanwhile
-                (_, Some(Some(refill))) => {
+                (_, RejectionCause::BudgetExhausted { refill_in }) => {
                     drop(held);
-                    self.pause(refill.max(WAITS.0)).await?;
+                    self.pause(refill_in.max(WAITS.0)).await?;
                     continue;
                 }
-                (_, Some(None)) => return Err(LineError::new("budget_exhausted", error.message)),
+                (_, RejectionCause::LargerThanBudget) => {
+                    return Err(LineError::new("budget_exhausted", error.message));
+                }
                 (401, _) => {
                     return Err(LineError::new(
                         "key_revoked",
@@ -142,7 +142,7 @@
                 return Err(LineError::new("attempts_failed", message));
             }
             held.turned_away();
-            self.pause(retry_in.unwrap_or(wait).max(WAITS.0)).await?;
+            self.pause(retry_after.unwrap_or(wait).max(WAITS.0)).await?;
             wait = (wait * 2).min(WAITS.1);
             place = Some(held);
         }
--- a/src/batch/line.rs
+++ b/src/batch/line.rs
@@ -9,7 +9,7 @@
 
 use crate::api::ApiError;
 use crate::core::{Payload, Request, RequestAttributes};
-use crate::edge::chat::Chat;
+use crate::edge::ChatBody;
 use crate::net::upstream::payload;
 use crate::wire::replica_id;
 
@@ -57,7 +57,7 @@
     /// What is sent.
     pub payload: Payload,
     /// The same for the edge, or why it can't be taken there.
-    pub chat: Result<Chat, ApiError>,
+    pub chat: Result<ChatBody, ApiError>,
 }
 
 #[derive(Deserialize)]
@@ -127,7 +127,7 @@
         .filter(|m| m.is_string())
         .cloned()
         .unwrap_or_default();
-    let chat = Chat::of(body.clone());
+    let chat = ChatBody::from_object(body.clone());
     // model servers answer in streams; the result file gets the whole
     body.insert("stream".into(), true.into());
     let text = Value::Object(body).to_string();
--- a/src/batch/live.rs
+++ b/src/batch/live.rs
@@ -11,9 +11,7 @@
 use super::line::Assembly;
 use super::store::unix;
 use crate::api::{ApiError, Reply};
-use crate::edge::Edge;
-use crate::edge::chat::Chat;
-use crate::edge::service::{Part, Serving, Work};
+use crate::edge::{AnswerStream, ChatBody, ChatRequest, Edge, StreamItem};
 use crate::net::http::{Body, Head, HttpError, LAST_CHUNK, put_chunk};
 use crate::request_ids::{RequestIds, is_request_id};
 
@@ -59,7 +57,7 @@
 
     async fn chat(&mut self, live: &Live, head: &Head, body: &mut Body) -> Result<Then, Wrong> {
         let arrived = self.message(head, body).await?;
-        let mut chat = Chat::read(&arrived.bytes)?;
+        let mut chat = ChatBody::parse(&arrived.bytes)?;
         let received = arrived.received_at;
         drop(arrived);
         let id = match head.get("x-trace-id") {
@@ -84,25 +82,25 @@
             chat.session = Some(crate::wire::replica_id(session).0);
         }
         let stream = chat.stream;
-        let work = Work {
+        let request = ChatRequest {
             caller: self.caller.clone(),
             chat,
             class: head.get("x-qos").map(String::from),
-            patience,
-            received,
+            timeout: patience,
+            received_at: received,
             trace,
-            live: true,
+            interactive: true,
             client: Some(self.peer.presence()),
         };
         let started = tokio::select! {
             biased;
-            started = live.edge.start(work) => started,
+            started = live.edge.start(request) => started,
             // its drop calls the attempt off and ends the reservation
             () = self.peer.wait_for_disconnect() => return Err(Wrong::Http(HttpError::ConnectionClosed)),
         };
         match started {
-            Ok(serving) => Ok(Then::Chat(Box::new(serving), stream)),
-            Err(declined) => Err(declined.error.into()),
+            Ok(answer) => Ok(Then::Chat(Box::new(answer), stream)),
+            Err(rejection) => Err(rejection.error.into()),
         }
     }
 
@@ -110,15 +108,15 @@
     pub(super) async fn chat_answer(
         &mut self,
         head: &Head,
-        mut serving: Serving,
+        mut answer: AnswerStream,
         stream: bool,
         close: bool,
     ) -> Result<(), HttpError> {
         if !stream {
-            return self.whole_answer(head, serving, close).await;
+            return self.whole_answer(head, answer, close).await;
         }
         let mut out = BytesMut::new();
-        let model = serving.model();
+        let model = answer.model();
         out.put_slice(
             format!(
                 "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
@@ -135,15 +133,15 @@
         loop {
             let part = tokio::select! {
                 biased;
-                part = serving.next() => part,
+                part = answer.next() => part,
                 () = self.peer.wait_for_disconnect() => return Err(HttpError::ConnectionClosed),
             };
-            let done = part == Part::Done;
+            let done = part == StreamItem::Complete;
             match part {
-                Part::Data(bytes) => put_chunk(&mut out, &bytes),
-                Part::Done => out.put_slice(LAST_CHUNK),
+                StreamItem::Data(bytes) => put_chunk(&mut out, &bytes),
+                StreamItem::Complete => out.put_slice(LAST_CHUNK),
                 // the connection ends without the last chunk: what came is no whole answer
-                Part::Broken => return Err(HttpError::ConnectionClosed),
+                StreamItem::Broken => return Err(HttpError::ConnectionClosed),
             }
             if done {
                 return self.peer.write_last(&out).await;
@@ -156,34 +154,34 @@
     async fn whole_answer(
         &mut self,
         head: &Head,
-        mut serving: Serving,
+        mut answer: AnswerStream,
         close: bool,
     ) -> Result<(), HttpError> {
         let mut all = Assembly::default();
         let whole = loop {
             let part = tokio::select! {
                 biased;
-                part = serving.next() => part,
+                part = answer.next() => part,
                 () = self.peer.wait_for_disconnect() => return Err(HttpError::ConnectionClosed),
             };
             match part {
-                Part::Data(bytes) => all.add(&bytes),
-                Part::Done => break true,
-                Part::Broken => break false,
+                StreamItem::Data(bytes) => all.add(&bytes),
+                StreamItem::Complete => break true,
+                StreamItem::Broken => break false,
             }
         };
         let broken = |what: String| ApiError::new(502, None, what).code("answer_broken");
-        let model = serving.model().to_string();
-        let answer = match whole {
+        let model = answer.model().to_string();
+        let body = match whole {
             true => all
-                .finish(serving.trace.id(), unix(), &Value::from(model.clone()))
+                .finish(answer.trace.id(), unix(), &Value::from(model.clone()))
                 .map_err(|e| broken(e.message)),
             false => Err(broken("the answer broke off; it may have run".into())),
         };
-        let reply = match answer {
+        let reply = match body {
             Ok(mut body) => {
-                if let Some(why) = serving.cut() {
-                    body["stilespan"] = why.clone();
+                if let Some(cutoff) = answer.cutoff() {
+                    body["stilespan"] = cutoff.to_json();
                 }
                 Reply {
                     headers: vec![("X-Served-Model", model)],
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -5,7 +5,7 @@
 use super::CommandError;
 use crate::batch;
 use crate::config::Config;
-use crate::edge::config::Book;
+use crate::edge::config::EdgeConfig;
 use crate::inventory;
 use crate::router::RouterOptions;
 use crate::routing::ModelNumbers;
@@ -53,8 +53,9 @@
 fn print_edge(path: Option<&Path>, config: &Config) -> Result<(), CommandError> {
     match path {
         Some(path) => {
-            let book = Book::load(path, &config.classes, &mut ModelNumbers::default())?;
-            println!("edge {}: {}", path.display(), book.summary());
+            let edge_config =
+                EdgeConfig::load(path, &config.classes, &mut ModelNumbers::default())?;
+            println!("edge {}: {}", path.display(), edge_config.summary());
         }
         None => println!("edge: off"),
     }
--- /dev/null
+++ b/src/edge/chat_body.rs
@@ -0,0 +1,198 @@
+//! The body of a chat request in the public OpenAI form: what it asks for, and the body that is
+//! forwarded to a model server.
+
+use serde_json::{Map, Value, json};
+
+use super::usage_meter::estimate_tokens;
+use crate::api::ApiError;
+use crate::wire::replica_id;
+
+/// The opening of a prompt (the system or developer message) that other requests share.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SharedPrefix {
+    /// A hash of its text.
+    pub id: u64,
+    /// Its estimated tokens.
+    pub tokens: u32,
+}
+
+/// A validated chat request, as its client sent it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ChatBody {
+    /// The name or an alias of the model.
+    pub model: String,
+    /// Tokens of the prompt, estimated by the length of its text.
+    pub prompt_tokens: u32,
+    /// The opening of the prompt that other requests share.
+    pub shared_prefix: Option<SharedPrefix>,
+    /// The client's limit for the answer's tokens.
+    pub max_output_tokens: Option<u32>,
+    /// The client wants the answer as a stream of events.
+    pub stream: bool,
+    /// The client wants a usage event at the end of the stream.
+    pub include_usage: bool,
+    /// A hash of what names the conversation, if anything does.
+    pub session: Option<u64>,
+    /// The JSON object.
+    object: Map<String, Value>,
+}
+
+impl ChatBody {
+    /// Parses and validates a request's body.
+    pub fn parse(body: &[u8]) -> Result<ChatBody, ApiError> {
+        let value: Value = serde_json::from_slice(body)
+            .map_err(|error| ApiError::new(400, None, format!("the body is no JSON: {error}")))?;
+        match value {
+            Value::Object(object) => ChatBody::from_object(object),
+            _ => Err(ApiError::new(400, None, "the body must be a JSON object")),
+        }
+    }
+
+    /// Validates a request's JSON object.
+    pub fn from_object(object: Map<String, Value>) -> Result<ChatBody, ApiError> {
+        let model = read_model(&object)?;
+        let messages = read_messages(&object)?;
+        check_choice_count(&object)?;
+        let max_output_tokens = read_max_output_tokens(&object)?;
+        let stream = read_flag(object.get("stream"), "stream")?;
+        let include_usage = object
+            .get("stream_options")
+            .and_then(|options| options.get("include_usage"));
+        let include_usage = read_flag(include_usage, "stream_options")?;
+        Ok(ChatBody {
+            model,
+            prompt_tokens: token_count(messages.iter().map(text_chars).sum()),
+            shared_prefix: shared_prefix(messages),
+            max_output_tokens,
+            stream,
+            include_usage,
+            session: session(&object),
+            object,
+        })
+    }
+
+    /// The body for a model server: its name for the model, a limit that the context window allows,
+    /// and a stream with the usage at its end.
+    pub fn forwarded_body(&self, model: &str, max_output_tokens: u32) -> Vec<u8> {
+        let mut object = self.object.clone();
+        object.insert("model".into(), model.into());
+        object.insert("stream".into(), true.into());
+        object.insert("stream_options".into(), json!({"include_usage": true}));
+        object.remove("max_completion_tokens");
+        object.insert("max_tokens".into(), max_output_tokens.into());
+        Value::Object(object).to_string().into_bytes()
+    }
+}
+
+fn invalid_value(param: &'static str, message: impl Into<String>) -> ApiError {
+    ApiError::new(400, param, message).code("invalid_value")
+}
+
+fn read_model(object: &Map<String, Value>) -> Result<String, ApiError> {
+    match object.get("model") {
+        Some(Value::String(name)) if !name.is_empty() => Ok(name.clone()),
+        Some(_) => Err(invalid_value("model", "model must be a name")),
+        None => {
+            let error = ApiError::new(400, "model", "model is missing");
+            Err(error.code("missing_required_parameter"))
+        }
+    }
+}
+
+fn read_messages(object: &Map<String, Value>) -> Result<&[Value], ApiError> {
+    let messages = object.get("messages").and_then(Value::as_array);
+    let Some(messages) = messages.filter(|messages| !messages.is_empty()) else {
+        let message = "messages must be a list of messages";
+        return Err(invalid_value("messages", message));
+    };
+    if !messages.iter().all(|message| message["role"].is_string()) {
+        return Err(invalid_value("messages", "each message needs a role"));
+    }
+    Ok(messages)
+}
+
+fn check_choice_count(object: &Map<String, Value>) -> Result<(), ApiError> {
+    match object.get("n") {
+        None | Some(Value::Null) => Ok(()),
+        Some(count) if count.as_u64() == Some(1) => Ok(()),
+        Some(_) => Err(invalid_value("n", "n must be 1: one answer to a request")),
+    }
+}
+
+/// The limit for the answer's tokens; of the two names for it the newer one has precedence. Both
+/// are validated.
+fn read_max_output_tokens(object: &Map<String, Value>) -> Result<Option<u32>, ApiError> {
+    let newer = read_limit(object, "max_completion_tokens")?;
+    let older = read_limit(object, "max_tokens")?;
+    Ok(newer.or(older))
+}
+
+fn read_limit(object: &Map<String, Value>, name: &'static str) -> Result<Option<u32>, ApiError> {
+    let value = match object.get(name) {
+        None | Some(Value::Null) => return Ok(None),
+        Some(value) => value,
+    };
+    let limit = value.as_u64().and_then(|limit| u32::try_from(limit).ok());
+    match limit {
+        Some(limit) if limit > 0 => Ok(Some(limit)),
+        _ => {
+            let message = format!("{name} must be a whole number above 0");
+            Err(invalid_value(name, message))
+        }
+    }
+}
+
+fn read_flag(value: Option<&Value>, name: &'static str) -> Result<bool, ApiError> {
+    match value {
+        None | Some(Value::Null) => Ok(false),
+        Some(Value::Bool(flag)) => Ok(*flag),
+        Some(_) => Err(invalid_value(name, format!("{name} must be true or false"))),
+    }
+}
+
+fn shared_prefix(messages: &[Value]) -> Option<SharedPrefix> {
+    let opening = messages.first()?;
+    if !matches!(opening["role"].as_str(), Some("system" | "developer")) {
+        return None;
+    }
+    let text = text_parts(opening).concat();
+    (!text.is_empty()).then(|| SharedPrefix {
+        id: replica_id(&text).0,
+        tokens: token_count(text.chars().count()),
+    })
+}
+
+/// What names the conversation: the key for the prompt cache, otherwise the user.
+fn session(object: &Map<String, Value>) -> Option<u64> {
+    let name = ["prompt_cache_key", "user"]
+        .iter()
+        .find_map(|key| object.get(*key)?.as_str());
+    name.map(|name| replica_id(name).0)
+}
+
+/// The estimated tokens of so many characters; at least 1.
+fn token_count(chars: usize) -> u32 {
+    u32::try_from(estimate_tokens(chars as u64))
+        .unwrap_or(u32::MAX)
+        .max(1)
+}
+
+/// The text of a message, whose content is a string or a list of parts.
+fn text_parts(message: &Value) -> Vec<&str> {
+    match &message["content"] {
+        Value::String(text) => vec![text],
+        Value::Array(parts) => parts
+            .iter()
+            .filter_map(|part| part["text"].as_str())
+            .collect(),
+        _ => Vec::new(),
+    }
+}
+
+fn text_chars(message: &Value) -> usize {
+    let parts = text_parts(message);
+    parts.iter().map(|text| text.chars().count()).sum()
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/edge/config/models.rs
@@ -0,0 +1,81 @@
+//! The catalog of models, with aliases and prices.
+
+use toml::Spanned;
+
+use super::problem::Problem;
+use super::raw::{RawAlias, RawConfig, RawModel, RawPrice};
+use super::source_file::SourceFile;
+use crate::config::ConfigError;
+use crate::interface::Dur;
+use crate::routing::{Catalog, CatalogError, ModelNumbers, ModelSpec, Named};
+use crate::spend::Price;
+
+/// Builds the catalog. `classes` are the names that a model's class may have.
+pub(super) fn build_catalog(
+    file: &SourceFile<'_>,
+    raw: &RawConfig,
+    classes: &[String],
+    numbers: &mut ModelNumbers,
+) -> Result<Catalog, ConfigError> {
+    check_classes(file, &raw.models, classes)?;
+    let specs: Vec<ModelSpec> = raw.models.iter().map(model_spec).collect();
+    let aliases: Vec<Named<String>> = raw.aliases.iter().map(alias).collect();
+    let prices: Vec<Named<Price>> = raw.prices.iter().map(price).collect();
+    if specs.is_empty() {
+        return Err(file.error(0..0, Problem::NoModels));
+    }
+    Catalog::build(&specs, &aliases, &prices, numbers).map_err(|error| {
+        let (place, problem) = match error {
+            CatalogError::Model(index, problem) => (raw.models[index].span(), problem),
+            CatalogError::Alias(index, problem) => (raw.aliases[index].span(), problem),
+            CatalogError::Price(index, problem) => (raw.prices[index].span(), problem),
+        };
+        file.error(place, Problem::Catalog(problem))
+    })
+}
+
+fn check_classes(
+    file: &SourceFile<'_>,
+    models: &[Spanned<RawModel>],
+    classes: &[String],
+) -> Result<(), ConfigError> {
+    for class in models.iter().filter_map(|m| m.get_ref().class.as_ref()) {
+        if !classes.contains(class.get_ref()) {
+            let problem = Problem::UnknownClass(class.get_ref().clone());
+            return Err(file.error(class.span(), problem));
+        }
+    }
+    Ok(())
+}
+
+fn model_spec(raw: &Spanned<RawModel>) -> ModelSpec {
+    let model = raw.get_ref();
+    ModelSpec {
+        name: model.name.clone(),
+        base: model.base.clone(),
+        load_time: Dur(u64::from(model.load_ms.unwrap_or(0)) * 1000),
+        context_window: model.context_window,
+        max_output_tokens: model.max_output_tokens,
+        fallback: model.fallback.clone(),
+        class: model.class.as_ref().map(|class| class.get_ref().clone()),
+    }
+}
+
+fn alias(raw: &Spanned<RawAlias>) -> Named<String> {
+    let alias = raw.get_ref();
+    Named {
+        name: alias.name.clone(),
+        value: alias.model.clone(),
+    }
+}
+
+fn price(raw: &Spanned<RawPrice>) -> Named<Price> {
+    let price = raw.get_ref();
+    Named {
+        name: price.model.clone(),
+        value: Price {
+            per_prompt_token: price.per_prompt_token,
+            per_output_token: price.per_output_token,
+        },
+    }
+}
--- /dev/null
+++ b/src/edge/listings.rs
@@ -0,0 +1,85 @@
+//! What the API lists: the models and budgets of a caller, as JSON objects.
+
+use serde_json::{Value, json};
+
+use super::rejection::model_not_found;
+use super::state::EdgeState;
+use super::{Caller, Edge};
+use crate::api::ApiError;
+use crate::interface::Time;
+use crate::spend::{BudgetStatus, MICRO_TOKENS_PER_TOKEN, MicroTokens, NodeUsage};
+
+/// The time of a budget that never refills.
+const NEVER: Time = Time(u64::MAX);
+/// Microseconds in a second.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+impl Edge {
+    /// The models that a caller may use, in the public OpenAI form.
+    pub fn models(&self, caller: &Caller) -> Value {
+        let state = self.state();
+        let all = 0..state.config.catalog.models().len();
+        let data: Vec<Value> = all
+            .filter(|&model| state.may_use(caller, model))
+            .map(|model| model_object(&state, model))
+            .collect();
+        json!({"object": "list", "data": data})
+    }
+
+    /// One model, by its name or an alias.
+    pub fn model(&self, caller: &Caller, name: &str) -> Result<Value, ApiError> {
+        let state = self.state();
+        match state.find_usable_model(caller, name) {
+            Some(model) => Ok(model_object(&state, model)),
+            None => Err(model_not_found(name)),
+        }
+    }
+
+    /// The budgets of a caller's own node and of those below: limits, what is used and reserved,
+    /// and when they refill.
+    pub fn budgets(&self, caller: &Caller) -> Value {
+        let now = self.clock_reading();
+        let ledger = &mut self.state().ledger;
+        let node = caller.node().and_then(|path| ledger.find_node(path));
+        let usages = match node {
+            Some(node) => ledger.subtree_usage(node, now),
+            None => Vec::new(),
+        };
+        let data: Vec<Value> = usages.iter().map(node_object).collect();
+        json!({"object": "list", "data": data})
+    }
+}
+
+fn model_object(state: &EdgeState, index: usize) -> Value {
+    let catalog = &state.config.catalog;
+    let model = catalog.model(index);
+    let name = |index: &usize| catalog.model(*index).name.clone();
+    let fallbacks: Vec<String> = model.fallback_chain[1..].iter().map(name).collect();
+    json!({"id": model.name, "object": "model", "created": 0, "owned_by": "stilespan",
+        "context_window": model.context_window, "max_output_tokens": model.max_output_tokens,
+        "base": model.base.as_ref().map(name), "aliases": catalog.aliases(index),
+        "fallbacks": fallbacks, "hosts": state.inventory.host_count(model.number)})
+}
+
+fn node_object(usage: &NodeUsage) -> Value {
+    let budgets: Vec<Value> = usage
+        .budgets
+        .iter()
+        .map(|(name, status)| budget_object(name, status, usage.reserved))
+        .collect();
+    json!({"object": "budget", "node": usage.path, "uncharged": rounded_up(usage.uncharged),
+        "budgets": budgets})
+}
+
+fn budget_object(name: &str, status: &BudgetStatus, reserved: MicroTokens) -> Value {
+    let refills_at = status.refills_at;
+    let refills_at = (refills_at < NEVER).then_some(refills_at.0 / MICROS_PER_SECOND);
+    json!({"name": name, "limit": status.limit / MICRO_TOKENS_PER_TOKEN,
+        "used": rounded_up(status.spent), "reserved": rounded_up(reserved),
+        "refills_at": refills_at})
+}
+
+/// An amount in tokens, rounded up.
+fn rounded_up(amount: MicroTokens) -> u64 {
+    amount.div_ceil(MICRO_TOKENS_PER_TOKEN)
+}
--- /dev/null
+++ b/src/edge/rejection.rs
@@ -0,0 +1,177 @@
+//! Rejected requests: the errors that clients get, and what a front end may do about them.
+
+use std::time::Duration;
+
+use crate::api::ApiError;
+use crate::identity::AuthenticationError;
+use crate::interface::Dur;
+use crate::routing::{RouteError, RouteExhausted};
+use crate::spend::{BudgetExceeded, ClockReading, MICRO_TOKENS_PER_TOKEN};
+
+/// The most characters of a client's text that an error repeats.
+const MAX_ECHOED_CHARS: usize = 128;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+/// The final answer to a request that no model server answers.
+#[derive(Clone, Debug)]
+pub struct Rejection {
+    /// The error for the client.
+    pub error: ApiError,
+    /// The attempts that were made at model servers.
+    pub attempts: u32,
+    /// Whether a budget is the cause.
+    pub cause: RejectionCause,
+    /// After what time a retry may succeed, if that is known.
+    pub retry_after: Option<Duration>,
+}
+
+/// Why a request was rejected, as far as front ends treat it differently.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RejectionCause {
+    /// A budget is exhausted; it has capacity for the request again after `refill_in`.
+    BudgetExhausted {
+        /// The time until then.
+        refill_in: Duration,
+    },
+    /// The request needs more than a complete budget: it can never be answered.
+    LargerThanBudget,
+    /// Any other cause; the error tells which.
+    Other,
+}
+
+impl From<ApiError> for Rejection {
+    fn from(error: ApiError) -> Rejection {
+        Rejection {
+            error,
+            attempts: 0,
+            cause: RejectionCause::Other,
+            retry_after: None,
+        }
+    }
+}
+
+impl Rejection {
+    /// A request that exceeds a budget, before any attempt.
+    pub(super) fn budget_exceeded(exceeded: &BudgetExceeded, now: ClockReading) -> Rejection {
+        let retry_after = exceeded.retry_after.map(duration);
+        let cause = match retry_after {
+            Some(refill_in) => RejectionCause::BudgetExhausted { refill_in },
+            None => RejectionCause::LargerThanBudget,
+        };
+        Rejection {
+            error: budget_exceeded_error(exceeded, now),
+            attempts: 0,
+            cause,
+            retry_after,
+        }
+    }
+
+    /// A request that no model of its fallback chain answered.
+    pub(super) fn route_exhausted(exhausted: &RouteExhausted) -> Rejection {
+        let retry_after = exhausted.retry_after.map(duration);
+        Rejection {
+            error: route_exhausted_error(exhausted, retry_after),
+            attempts: exhausted.attempts,
+            cause: RejectionCause::Other,
+            retry_after,
+        }
+    }
+}
+
+/// The decision module's span of time as a duration.
+pub(super) fn duration(span: Dur) -> Duration {
+    Duration::from_micros(span.0)
+}
+
+fn route_exhausted_error(exhausted: &RouteExhausted, retry_after: Option<Duration>) -> ApiError {
+    if exhausted.no_host {
+        let message =
+            "no server has the model or one of its fallbacks now; trying again is harmless";
+        ApiError::new(503, None, message)
+            .code("model_unavailable")
+            .retry_in(retry_after)
+    } else if exhausted.rejected {
+        let message = "refused: no server could answer in time; trying again is harmless";
+        ApiError::new(503, None, message)
+            .code("overloaded")
+            .retry_in(retry_after)
+    } else {
+        ApiError::new(502, None, "failed: an attempt may have run").code("upstream_failed")
+    }
+}
+
+fn budget_exceeded_error(exceeded: &BudgetExceeded, now: ClockReading) -> ApiError {
+    let BudgetExceeded { node, budget, .. } = exceeded;
+    let message = match exceeded.retry_after {
+        Some(_) => format!("the budget {budget:?} of {node} is used up"),
+        None => format!("the request is larger than the whole budget {budget:?} of {node}"),
+    };
+    let error = ApiError::new(429, None, message).code("budget_exhausted");
+    // the root's state would reveal what other tenants use
+    let error = if exceeded.depth > 0 {
+        with_rate_limit_headers(error, exceeded, now)
+    } else {
+        error
+    };
+    error.retry_in(exceeded.retry_after.map(duration))
+}
+
+/// Adds the budget's state in the header fields of draft-ietf-httpapi-ratelimit-headers.
+fn with_rate_limit_headers(
+    error: ApiError,
+    exceeded: &BudgetExceeded,
+    now: ClockReading,
+) -> ApiError {
+    let BudgetExceeded { budget, status, .. } = exceeded;
+    let quota = status.limit / MICRO_TOKENS_PER_TOKEN;
+    let window = status.window.0.div_ceil(MICROS_PER_SECOND);
+    let available = status
+        .limit
+        .saturating_sub(status.spent)
+        .saturating_sub(exceeded.reserved);
+    let remaining = available / MICRO_TOKENS_PER_TOKEN;
+    let reset = (status.refills_at - now.wall).0.div_ceil(MICROS_PER_SECOND);
+    error
+        .with(
+            "RateLimit-Policy",
+            format!("\"{budget}\";q={quota};w={window};qu=\"tokens\""),
+        )
+        .with("RateLimit", format!("\"{budget}\";r={remaining};t={reset}"))
+}
+
+/// The error for a request without a key, or with an invalid one.
+pub(super) fn authentication_error(error: AuthenticationError) -> ApiError {
+    let (message, code) = match error {
+        AuthenticationError::Missing => (
+            "no API key was given: Authorization: Bearer KEY",
+            "missing_api_key",
+        ),
+        AuthenticationError::Unknown => ("the API key is not valid", "invalid_api_key"),
+    };
+    ApiError::new(401, None, message)
+        .code(code)
+        .with("WWW-Authenticate", "Bearer")
+}
+
+/// The error for a model that does not exist or that the caller may not use; it does not tell
+/// which.
+pub(super) fn model_not_found(name: &str) -> ApiError {
+    let printable = name.chars().filter(|c| !c.is_control());
+    let name: String = printable.take(MAX_ECHOED_CHARS).collect();
+    let message = format!("the model {name:?} does not exist or you may not use it");
+    ApiError::new(404, "model", message).code("model_not_found")
+}
+
+/// The error for a request without a route.
+pub(super) fn route_error(error: RouteError, model: &str, prompt_tokens: u32) -> ApiError {
+    match error {
+        RouteError::ModelForbidden => model_not_found(model),
+        RouteError::PromptTooLong { context_window } => {
+            let message = format!(
+                "the messages come to about {prompt_tokens} tokens; the model's window holds {context_window}"
+            );
+            ApiError::new(400, "messages", message).code("context_length_exceeded")
+        }
+    }
+}
--- a/src/router/open/edge.rs
+++ b/src/router/open/edge.rs
@@ -8,8 +8,8 @@
 
 use crate::config::{Config, ConfigError};
 use crate::core::{CoreHandle, MAILBOX_CAPACITY, Message};
-use crate::edge::config::Book;
-use crate::edge::{Edge, members};
+use crate::edge::config::EdgeConfig;
+use crate::edge::{Edge, model_discovery};
 use crate::error::RunError;
 use crate::net::connection_limit::ConnectionLimit;
 use crate::routing::ModelNumbers;
@@ -17,7 +17,7 @@
 /// The edge's file, read and checked.
 pub(super) struct EdgeFile {
     path: PathBuf,
-    book: Book,
+    config: EdgeConfig,
     numbers: ModelNumbers,
 }
 
@@ -33,17 +33,17 @@
             return Ok(None);
         };
         let mut numbers = ModelNumbers::default();
-        let book = Book::load(&path, &config.classes, &mut numbers)?;
+        let edge_config = EdgeConfig::load(&path, &config.classes, &mut numbers)?;
         if !has_batch {
             return Err(ConfigError::Missing(
                 "the batch front (--batch), whose address the edge shares,",
             )
             .into());
         }
-        add_tenants(&book, config);
+        add_tenants(&edge_config, config);
         Ok(Some(EdgeFile {
             path,
-            book,
+            config: edge_config,
             numbers,
         }))
     }
@@ -57,11 +57,11 @@
         core_messages: mpsc::Sender<Message>,
         server_sockets: ConnectionLimit,
     ) -> Result<(Arc<Edge>, mpsc::Sender<Message>), ConfigError> {
-        info!("{}: {}", self.path.display(), self.book.summary());
-        let edge = Edge::new(self.path, self.book, self.numbers, config, core)?;
+        info!("{}: {}", self.path.display(), self.config.summary());
+        let edge = Edge::new(self.path, self.config, self.numbers, config, core)?;
         let edge = Arc::new(edge);
         let (messages_to, messages) = mpsc::channel(MAILBOX_CAPACITY);
-        tokio::spawn(members::run(
+        tokio::spawn(model_discovery::run(
             edge.clone(),
             messages,
             core_messages,
@@ -72,13 +72,13 @@
 }
 
 /// Adds the edge's tenants to the settings, behind the platform's own.
-fn add_tenants(book: &Book, config: &mut Config) {
-    let tenants = &book.schools;
+fn add_tenants(edge_config: &EdgeConfig, config: &mut Config) {
+    let tenants = &edge_config.tenants;
     let settings = &mut config.settings;
     settings
         .quotas
-        .extend(tenants.iter().map(|tenant| tenant.share));
+        .extend(tenants.iter().map(|tenant| tenant.quota));
     if settings.quotas.len() == tenants.len() {
-        settings.over_share_worth = book.over_share_worth;
+        settings.over_share_worth = edge_config.over_quota_weight;
     }
 }
--- a/tests/edge/config_errors.rs
+++ b/tests/edge/config_errors.rs
@@ -1,7 +1,7 @@
 //! Errors of the edge's file, which are reported with their line.
 
 use rstest::rstest;
-use stilespan::edge::config::Book;
+use stilespan::edge::config::EdgeConfig;
 use stilespan::routing::ModelNumbers;
 
 use crate::config_files::{NODES, edge_file};
@@ -56,13 +56,13 @@
 ) {
     let parse = |text: &str| {
         let path = std::path::Path::new("edge.toml");
-        Book::parse(
+        EdgeConfig::parse(
             path,
             text,
             &["hint".to_string()],
             &mut ModelNumbers::default(),
         )
-        .map(|book| book.0)
+        .map(|parsed| parsed.config)
     };
     let text = edge_file(NODES);
     parse(&text).unwrap();
