--- a/src/edge/budget_cutoff.rs
+++ b/src/edge/budget_cutoff.rs
@@ -22,7 +22,9 @@
         BudgetCutoff {
             node: exceeded.node.clone(),
             budget: exceeded.budget.clone(),
-            retry_after_seconds: exceeded.retry_after.map(|time| time.0.div_ceil(1_000_000)),
+            retry_after_seconds: exceeded
+                .retry_after
+                .map(|time| time.as_micros().div_ceil(1_000_000)),
         }
     }
 
--- a/src/edge/config/budgets.rs
+++ b/src/edge/config/budgets.rs
@@ -10,7 +10,7 @@
 use super::raw::{RawBudget, RawConfig};
 use super::source_file::SourceFile;
 use crate::config::ConfigError;
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::spend::{
     Budget, BudgetLimit, MAX_BUDGET_TOKENS, MICRO_TOKENS_PER_TOKEN, MicroTokens, Period,
     PeriodLength,
@@ -18,6 +18,9 @@
 
 /// The rates of a budget, in tokens a second.
 const RATE_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1e9;
+/// The shortest time that a token bucket may take to refill.
+const MIN_REFILL_TIME: Span = Span::from_micros(1);
+const SECONDS_PER_HOUR: u64 = 3_600;
 /// The name of a budget with a rate, where it has none of its own.
 const DEFAULT_RATE_NAME: &str = "rate";
 
@@ -75,7 +78,7 @@
         }
         let tokens_per_second = self.file.number_in(RATE_RANGE, "per_second", rate)?;
         let tokens = amount as f64 / MICRO_TOKENS_PER_TOKEN as f64;
-        let refill_time = Dur::from_secs(tokens / tokens_per_second).max(Dur(1));
+        let refill_time = Span::from_secs_f64(tokens / tokens_per_second).max(MIN_REFILL_TIME);
         let name = raw.name.as_deref().unwrap_or(DEFAULT_RATE_NAME);
         Ok(Budget {
             name: name.into(),
@@ -134,14 +137,14 @@
 
 /// How long a token bucket takes to refill that holds what a period may use; none for terms, which
 /// differ in length.
-fn bucket_refill_time(length: &PeriodLength) -> Option<Dur> {
+fn bucket_refill_time(length: &PeriodLength) -> Option<Span> {
     let hours = match length {
-        PeriodLength::Hour => 1.0,
-        PeriodLength::Day => 24.0,
-        PeriodLength::Week => 7.0 * 24.0,
+        PeriodLength::Hour => 1,
+        PeriodLength::Day => 24,
+        PeriodLength::Week => 7 * 24,
         PeriodLength::Term(_) => return None,
     };
-    Some(Dur::from_secs(hours * 3600.0))
+    Some(Span::from_secs(hours * SECONDS_PER_HOUR))
 }
 
 /// The first days of the terms, which must be in order.
--- a/src/edge/config/models.rs
+++ b/src/edge/config/models.rs
@@ -6,7 +6,7 @@
 use super::raw::{RawAlias, RawConfig, RawModel, RawPrice};
 use super::source_file::SourceFile;
 use crate::config::ConfigError;
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::routing::{Catalog, CatalogError, ModelNumbers, ModelSpec, Named};
 use crate::spend::Price;
 
@@ -53,7 +53,7 @@
     ModelSpec {
         name: model.name.clone(),
         base: model.base.clone(),
-        load_time: Dur(u64::from(model.load_ms.unwrap_or(0)) * 1000),
+        load_time: Span::from_millis(model.load_ms.unwrap_or(0).into()),
         context_window: model.context_window,
         max_output_tokens: model.max_output_tokens,
         fallback: model.fallback.clone(),
--- a/src/edge/listings.rs
+++ b/src/edge/listings.rs
@@ -6,11 +6,11 @@
 use super::state::EdgeState;
 use super::{Caller, Edge};
 use crate::api::ApiError;
-use crate::interface::Time;
+use crate::interface::Timestamp;
 use crate::spend::{BudgetStatus, MICRO_TOKENS_PER_TOKEN, MicroTokens, NodeUsage};
 
 /// The time of a budget that never refills.
-const NEVER: Time = Time(u64::MAX);
+const NEVER: Timestamp = Timestamp::from_micros(u64::MAX);
 /// Microseconds in a second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
@@ -73,7 +73,7 @@
 
 fn budget_object(name: &str, status: &BudgetStatus, reserved: MicroTokens) -> Value {
     let refills_at = status.refills_at;
-    let refills_at = (refills_at < NEVER).then_some(refills_at.0 / MICROS_PER_SECOND);
+    let refills_at = (refills_at < NEVER).then_some(refills_at.as_micros() / MICROS_PER_SECOND);
     json!({"name": name, "limit": status.limit / MICRO_TOKENS_PER_TOKEN,
         "used": rounded_up(status.spent), "reserved": rounded_up(reserved),
         "refills_at": refills_at})
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -42,7 +42,7 @@
 use crate::config::{Config, ConfigError};
 use crate::core::Clock;
 use crate::core::CoreHandle;
-use crate::interface::{Class, Dur, Effect, Settings, Time};
+use crate::interface::{Class, Effect, Settings, Span, Timestamp};
 use crate::routing::{FirstTokenEstimates, ModelNumbers};
 use crate::spend::{ClockReading, Ledger};
 pub use answer_stream::{AnswerStream, StreamItem};
@@ -51,13 +51,13 @@
 pub use chat_body::{ChatBody, SharedPrefix};
 pub use chat_request::ChatRequest;
 use config::EdgeConfig;
+use rejection::authentication_error;
 pub use rejection::{Rejection, RejectionCause};
-use rejection::{authentication_error, duration};
 use state::EdgeState;
 
 /// The time to a first token that is expected of a model before anything was measured, where no
 /// class has an objective.
-const DEFAULT_FIRST_TOKEN_TIME: Dur = Dur(1_000_000);
+const DEFAULT_FIRST_TOKEN_TIME: Span = Span::from_secs(1);
 
 /// A class of the settings, as far as the edge uses it.
 #[derive(Clone, Debug)]
@@ -73,7 +73,7 @@
     fn new(name: &str, class: &Class) -> RequestClass {
         RequestClass {
             name: name.into(),
-            deadline: duration(class.deadline),
+            deadline: class.deadline.into(),
             idempotent: class.effect == Effect::Safe,
         }
     }
@@ -132,7 +132,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn now(&self) -> Time {
+    fn now(&self) -> Timestamp {
         self.clock.time_at(Instant::now())
     }
 
@@ -183,7 +183,7 @@
 }
 
 /// The shortest first-token objective of all classes.
-fn expected_first_token_time(settings: &Settings) -> Dur {
+fn expected_first_token_time(settings: &Settings) -> Span {
     let objectives = settings.classes.iter().map(|class| class.aim);
     objectives.min().unwrap_or(DEFAULT_FIRST_TOKEN_TIME)
 }
--- a/src/edge/model_discovery.rs
+++ b/src/edge/model_discovery.rs
@@ -18,7 +18,7 @@
 
 use super::Edge;
 use crate::core::{Endpoint, EndpointsUpdate, Message};
-use crate::interface::{ListKind, ReplicaId, State, Time};
+use crate::interface::{ListKind, ReplicaId, State, Timestamp};
 use crate::net::connection_limit::ConnectionLimit;
 use poll::{PollError, poll_models};
 
@@ -38,7 +38,7 @@
 struct PollResult {
     replica: ReplicaId,
     /// When the polled process started, as the endpoint list has it.
-    started: Time,
+    started: Timestamp,
     models: Result<Vec<String>, PollError>,
 }
 
--- a/src/edge/rejection.rs
+++ b/src/edge/rejection.rs
@@ -4,7 +4,6 @@
 
 use crate::api::ApiError;
 use crate::identity::AuthenticationError;
-use crate::interface::Dur;
 use crate::routing::{RouteError, RouteExhausted};
 use crate::spend::{BudgetExceeded, ClockReading, MICRO_TOKENS_PER_TOKEN};
 
@@ -54,7 +53,7 @@
 impl Rejection {
     /// A request that exceeds a budget, before any attempt.
     pub(super) fn budget_exceeded(exceeded: &BudgetExceeded, now: ClockReading) -> Rejection {
-        let retry_after = exceeded.retry_after.map(duration);
+        let retry_after = exceeded.retry_after.map(Duration::from);
         let cause = match retry_after {
             Some(refill_in) => RejectionCause::BudgetExhausted { refill_in },
             None => RejectionCause::LargerThanBudget,
@@ -69,7 +68,7 @@
 
     /// A request that no model of its fallback chain answered.
     pub(super) fn route_exhausted(exhausted: &RouteExhausted) -> Rejection {
-        let retry_after = exhausted.retry_after.map(duration);
+        let retry_after = exhausted.retry_after.map(Duration::from);
         Rejection {
             error: route_exhausted_error(exhausted, retry_after),
             attempts: exhausted.attempts,
@@ -79,11 +78,6 @@
     }
 }
 
-/// The decision module's span of time as a duration.
-pub(super) fn duration(span: Dur) -> Duration {
-    Duration::from_micros(span.0)
-}
-
 fn route_exhausted_error(exhausted: &RouteExhausted, retry_after: Option<Duration>) -> ApiError {
     if exhausted.no_host {
         let message =
@@ -114,7 +108,7 @@
     } else {
         error
     };
-    error.retry_in(exceeded.retry_after.map(duration))
+    error.retry_in(exceeded.retry_after.map(Duration::from))
 }
 
 /// Adds the budget's state in the header fields of draft-ietf-httpapi-ratelimit-headers.
@@ -125,13 +119,15 @@
 ) -> ApiError {
     let BudgetExceeded { budget, status, .. } = exceeded;
     let quota = status.limit / MICRO_TOKENS_PER_TOKEN;
-    let window = status.window.0.div_ceil(MICROS_PER_SECOND);
+    let window = status.window.as_micros().div_ceil(MICROS_PER_SECOND);
     let available = status
         .limit
         .saturating_sub(status.spent)
         .saturating_sub(exceeded.reserved);
     let remaining = available / MICRO_TOKENS_PER_TOKEN;
-    let reset = (status.refills_at - now.wall).0.div_ceil(MICROS_PER_SECOND);
+    let reset = (status.refills_at - now.wall)
+        .as_micros()
+        .div_ceil(MICROS_PER_SECOND);
     error
         .with(
             "RateLimit-Policy",
--- a/src/edge/request_plan.rs
+++ b/src/edge/request_plan.rs
@@ -9,7 +9,7 @@
 use super::{ChatRequest, Edge};
 use crate::api::ApiError;
 use crate::core::RequestAttributes;
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::routing::{ChatQuery, Route};
 
 /// The longest time that a client may wait for a first token; more is cut to it.
@@ -44,7 +44,7 @@
             model,
             prompt_tokens: chat.prompt_tokens,
             max_output_tokens: chat.max_output_tokens,
-            expires_at: received_at + Dur(timeout.as_micros() as u64),
+            expires_at: received_at + Span::from(timeout),
             max_attempts: self.max_attempts,
             idempotent: self.classes[class].idempotent,
         };
--- a/src/edge/submissions.rs
+++ b/src/edge/submissions.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::mpsc;
 use tracing::field::Empty;
-use tracing::{Instrument, Span, debug, info_span};
+use tracing::{Instrument, debug, info_span};
 
 use super::answer_stream::{AnswerStream, StreamOptions};
 use super::request_plan::RequestPlan;
@@ -13,7 +13,7 @@
 use super::{ChatRequest, Edge, Rejection};
 use crate::api::ApiError;
 use crate::core::{Answer, Chunk, PendingRequest, Request, RequestAttributes};
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::net::upstream::payload;
 use crate::routing::{RouteExhausted, RouteStep, Submission, SubmissionEnd};
 use crate::spend::BudgetExceeded;
@@ -47,7 +47,7 @@
     edge: Arc<Edge>,
     request: ChatRequest,
     plan: RequestPlan,
-    span: Span,
+    span: tracing::Span,
     /// The core was given at least one submission.
     submitted: bool,
     /// A model server may have seen the request.
@@ -55,7 +55,12 @@
 }
 
 impl Submissions {
-    fn new(edge: Arc<Edge>, request: ChatRequest, plan: RequestPlan, span: Span) -> Submissions {
+    fn new(
+        edge: Arc<Edge>,
+        request: ChatRequest,
+        plan: RequestPlan,
+        span: tracing::Span,
+    ) -> Submissions {
         Submissions {
             edge,
             request,
@@ -96,7 +101,7 @@
                 } => SubmissionEnd {
                     attempts,
                     forwarded,
-                    retry_after: retry_after.map(|time| Dur(time.as_micros() as u64)),
+                    retry_after: retry_after.map(Span::from),
                     rejected: true,
                 },
                 Answer::Failed {
--- a/src/routing/catalog.rs
+++ b/src/routing/catalog.rs
@@ -3,7 +3,7 @@
 use rustc_hash::FxHashMap;
 
 use super::{MAX_ALIASES, MAX_FALLBACK_CHAIN, MAX_MODEL_NUMBERS, MAX_MODELS};
-use crate::interface::Dur;
+use crate::interface::Span;
 use crate::spend::{MAX_TOKEN_PRICE, Price};
 
 /// A model as it is written down.
@@ -14,7 +14,7 @@
     /// The model that it is an adapter of.
     pub base: Option<String>,
     /// What the first use on a host costs that has only the base.
-    pub load_time: Dur,
+    pub load_time: Span,
     /// Tokens that prompt and answer may hold together.
     pub context_window: u32,
     /// Tokens that an answer may have.
@@ -75,7 +75,7 @@
     /// The place of the model that it is an adapter of.
     pub base: Option<usize>,
     /// What the first use on a host costs that has only the base.
-    pub load_time: Dur,
+    pub load_time: Span,
     /// Tokens that prompt and answer may hold together.
     pub context_window: u32,
     /// Tokens that an answer may have.
@@ -201,7 +201,7 @@
                 None => return Err(format!("{name}: its base {base:?} is no model")),
             },
         };
-        if base.is_none() && spec.load_time.0 > 0 {
+        if base.is_none() && spec.load_time.as_micros() > 0 {
             return Err(format!(
                 "{name}: only an adapter has a load time, and it names no base"
             ));
--- a/src/routing/model_inventory.rs
+++ b/src/routing/model_inventory.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use super::Catalog;
-use crate::interface::{Dur, Models, ReplicaId, State, Time};
+use crate::interface::{Models, ReplicaId, Span, State, Timestamp};
 
 /// Models that a host's word may hold; the rest of a longer one is not read.
 const MAX_REPORTED_MODELS: usize = 4096;
@@ -21,7 +21,7 @@
 
 struct HostModels {
     state: State,
-    started: Time,
+    started: Timestamp,
     listed: Option<Vec<String>>,
     reported: Option<Vec<String>>,
 }
@@ -41,7 +41,7 @@
         &mut self,
         replica: ReplicaId,
         state: State,
-        started: Time,
+        started: Timestamp,
         models: Option<&[String]>,
     ) {
         if state == State::Terminated {
@@ -75,7 +75,7 @@
     pub fn record_report(
         &mut self,
         replica: ReplicaId,
-        started: Time,
+        started: Timestamp,
         mut names: Vec<String>,
     ) -> (bool, Option<InventoryMismatch>) {
         let Some(host) = self
@@ -138,7 +138,7 @@
 
 impl HostModels {
     /// The numbers of the models that it has, each with its time to load.
-    fn has<'a>(&'a self, catalog: &'a Catalog) -> impl Iterator<Item = (u32, Dur)> + 'a {
+    fn has<'a>(&'a self, catalog: &'a Catalog) -> impl Iterator<Item = (u32, Span)> + 'a {
         let names = self.reported.as_ref().or(self.listed.as_ref());
         let named = move |at: usize| names.is_none_or(|n| n.contains(&catalog.model(at).name));
         catalog
@@ -150,7 +150,7 @@
                 Some(base) if names.is_none() || !named(at) => {
                     named(base).then_some((model.number, model.load_time))
                 }
-                _ => named(at).then_some((model.number, Dur(0))),
+                _ => named(at).then_some((model.number, Span::ZERO)),
             })
     }
 }
@@ -164,7 +164,7 @@
         let spec = |name: &str, base: Option<&str>| ModelSpec {
             name: name.into(),
             base: base.map(String::from),
-            load_time: Dur(if base.is_some() { 800_000 } else { 0 }),
+            load_time: Span::from_micros(if base.is_some() { 800_000 } else { 0 }),
             context_window: 100,
             max_output_tokens: 10,
             ..ModelSpec::default()
@@ -194,35 +194,45 @@
         inventory.set_listed(
             id,
             State::InService,
-            Time(5),
+            Timestamp::from_micros(5),
             Some(&names(&["small", "large"])),
         );
         let models = inventory.servable_models(id, &catalog);
         assert_eq!(
             [1, 2, 3].map(|m| models.ready_in(m)),
-            [Some(Dur(0)), Some(Dur(0)), Some(Dur(800_000))]
+            [
+                Some(Span::ZERO),
+                Some(Span::ZERO),
+                Some(Span::from_millis(800))
+            ]
         );
-        let (news, differ) = inventory.record_report(id, Time(5), names(&["small", "maths"]));
+        let (news, differ) =
+            inventory.record_report(id, Timestamp::from_micros(5), names(&["small", "maths"]));
         let differ = differ.unwrap();
         assert!(news && differ.missing == ["large"] && differ.unlisted == ["maths"]);
         let models = inventory.servable_models(id, &catalog);
         assert_eq!(
             [1, 2, 3].map(|m| models.ready_in(m)),
-            [Some(Dur(0)), None, Some(Dur(0))]
+            [Some(Span::ZERO), None, Some(Span::ZERO)]
         );
         assert_eq!(
-            inventory.record_report(id, Time(5), names(&["maths", "small"])),
+            inventory.record_report(id, Timestamp::from_micros(5), names(&["maths", "small"])),
             (false, None)
         );
         // a new start: what was told is forgotten, and a late word of the old one is not heard
-        inventory.set_listed(id, State::InService, Time(9), Some(&names(&["small"])));
+        inventory.set_listed(
+            id,
+            State::InService,
+            Timestamp::from_micros(9),
+            Some(&names(&["small"])),
+        );
         assert_eq!(
-            inventory.record_report(id, Time(5), names(&["large"])),
+            inventory.record_report(id, Timestamp::from_micros(5), names(&["large"])),
             (false, None)
         );
         assert_eq!(
             inventory.servable_models(id, &catalog).ready_in(3),
-            Some(Dur(800_000))
+            Some(Span::from_millis(800))
         );
     }
 
@@ -232,19 +242,19 @@
         inventory.set_listed(
             ReplicaId(1),
             State::InService,
-            Time(0),
+            Timestamp::ZERO,
             Some(&names(&["small"])),
         );
         inventory.set_listed(
             ReplicaId(2),
             State::Terminating,
-            Time(0),
+            Timestamp::ZERO,
             Some(&names(&["large"])),
         );
-        inventory.set_listed(ReplicaId(3), State::InService, Time(0), None);
+        inventory.set_listed(ReplicaId(3), State::InService, Timestamp::ZERO, None);
         inventory.recount_hosts(&catalog);
         assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [2, 1, 2]);
-        inventory.set_listed(ReplicaId(3), State::Terminated, Time(0), None);
+        inventory.set_listed(ReplicaId(3), State::Terminated, Timestamp::ZERO, None);
         inventory.recount_hosts(&catalog);
         assert_eq!([1, 2, 3].map(|m| inventory.host_count(m)), [1, 0, 1]);
     }
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{Catalog, FirstTokenEstimates, ModelInventory};
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 
 /// What is asked for.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     /// The most tokens of an answer, where the client tells.
     pub max_output_tokens: Option<u32>,
     /// When its client stops waiting for a first token.
-    pub expires_at: Time,
+    pub expires_at: Timestamp,
     /// Call attempts that it may have over all models.
     pub max_attempts: u32,
     /// A repeat is harmless even where an attempt may have run.
@@ -45,7 +45,7 @@
     /// one.
     pub unavailable_attempts: u32,
     /// When it ends unless a first token has come.
-    pub deadline: Time,
+    pub deadline: Timestamp,
 }
 
 /// How a leg ended without an answer.
@@ -56,7 +56,7 @@
     /// Some attempt reached a server, and may have run.
     pub forwarded: bool,
     /// It was declined, and told to come back then.
-    pub retry_after: Option<Dur>,
+    pub retry_after: Option<Span>,
     /// It was declined rather than failed.
     pub rejected: bool,
 }
@@ -69,7 +69,7 @@
     /// Call attempts over all legs.
     pub attempts: u32,
     /// When to come back, where some leg told: the soonest, as any model of the chain will do.
-    pub retry_after: Option<Dur>,
+    pub retry_after: Option<Span>,
     /// No model of the chain had a host.
     pub no_host: bool,
 }
@@ -101,8 +101,8 @@
     attempts: u32,
     may_have_run: bool,
     failed: bool,
-    retry_after: Option<Dur>,
-    out: Option<(usize, Time)>,
+    retry_after: Option<Span>,
+    out: Option<(usize, Timestamp)>,
 }
 
 impl Route {
@@ -157,7 +157,7 @@
         &mut self,
         inventory: &ModelInventory,
         estimates: &FirstTokenEstimates,
-        now: Time,
+        now: Timestamp,
     ) -> RouteStep {
         assert!(self.out.is_none(), "a leg is out: two would run at once");
         let spent_up = self.attempts >= self.query.max_attempts;
@@ -187,7 +187,7 @@
         // time is kept back for the next only where both fit
         let after = open.iter().copied().filter(|&k| k > at).map(need).min();
         let kept = after
-            .filter(|&n| n.0.saturating_add(need(at).0) <= left.0)
+            .filter(|&n| n.as_micros().saturating_add(need(at).as_micros()) <= left.as_micros())
             .unwrap_or_default();
         // an attempt is kept back for it too: guards against servers that fail fast and use all of
         // them up
@@ -201,7 +201,7 @@
         let (model, cap, tried) = &mut self.chain[at];
         *tried = Tried::Yes;
         self.out = Some((*model, now));
-        let deadline = Time(self.query.expires_at.0 - kept.0);
+        let deadline = Timestamp::from_micros(self.query.expires_at.as_micros() - kept.as_micros());
         RouteStep::Submit(Submission {
             model: *model,
             max_output_tokens: *cap,
@@ -216,7 +216,7 @@
         &mut self,
         end: SubmissionEnd,
         estimates: &mut FirstTokenEstimates,
-        now: Time,
+        now: Timestamp,
     ) {
         let Some((model, since)) = self.out.take() else {
             return;
@@ -239,7 +239,7 @@
     }
 
     /// The leg that was out has begun to answer: the route is over, and its time is learnt.
-    pub fn answer_started(&mut self, estimates: &mut FirstTokenEstimates, now: Time) {
+    pub fn answer_started(&mut self, estimates: &mut FirstTokenEstimates, now: Timestamp) {
         if let Some((model, since)) = self.out.take() {
             estimates.record(
                 self.catalog.model(model).number,
--- a/src/spend/gauge.rs
+++ b/src/spend/gauge.rs
@@ -1,11 +1,11 @@
 //! One budget of one node: how much of it is spent, and when there is more.
 
 use super::{BudgetLimit, ClockReading, MicroTokens, Period};
-use crate::interface::{Dur, Time};
+use crate::interface::{Span, Timestamp};
 
 /// A reservation ends within about so long: what it keeps from others is worth asking for again
 /// then.
-const SOON: Dur = Dur(1_000_000);
+const SOON: Span = Span::from_secs(1);
 
 /// A budget and its state.
 #[derive(Clone, Debug)]
@@ -14,16 +14,16 @@
         limit: MicroTokens,
         period: Period,
         spent: MicroTokens,
-        start: Time,
-        end: Time,
+        start: Timestamp,
+        end: Timestamp,
     },
     Drip {
         limit: MicroTokens,
-        refill_time: Dur,
+        refill_time: Span,
         /// In parts of a micro-token, `refill_time` of them to one: no refill is rounded.
         spent: u128,
         /// Until when the refill is reckoned in.
-        at: Time,
+        at: Timestamp,
     },
 }
 
@@ -35,16 +35,16 @@
     /// What is spent of it now.
     pub spent: MicroTokens,
     /// When it refills, or is full again, by the wall clock.
-    pub refills_at: Time,
+    pub refills_at: Timestamp,
     /// How long it takes from empty to full, or the whole period.
-    pub window: Dur,
+    pub window: Span,
 }
 
 /// Why there is no room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Short {
     /// There will be, after this.
-    Until(Dur),
+    Until(Span),
     /// The limit itself is smaller.
     Never,
 }
@@ -96,7 +96,7 @@
                 limit, spent, at, ..
             } => {
                 let passed = now.monotonic - *at;
-                *spent = spent.saturating_sub(u128::from(passed.0) * u128::from(*limit));
+                *spent = spent.saturating_sub(u128::from(passed.as_micros()) * u128::from(*limit));
                 *at = now.monotonic.max(*at);
             }
         }
@@ -114,7 +114,7 @@
             } => (
                 *limit,
                 spent
-                    .div_ceil(u128::from(refill_time.0))
+                    .div_ceil(u128::from(refill_time.as_micros()))
                     .min(u128::from(MicroTokens::MAX)) as MicroTokens,
             ),
         }
@@ -143,11 +143,11 @@
             Gauge::Drip {
                 refill_time, spent, ..
             } => {
-                let room = u128::from(limit - more) * u128::from(refill_time.0);
+                let room = u128::from(limit - more) * u128::from(refill_time.as_micros());
                 let wait = spent
                     .saturating_sub(room)
                     .div_ceil(u128::from(limit.max(1)));
-                Dur(wait.min(u128::from(Dur::MAX.0)) as u64)
+                Span::from_micros(wait.min(u128::from(Span::MAX.as_micros())) as u64)
             }
         }))
     }
@@ -173,7 +173,7 @@
             Gauge::Drip {
                 spent, refill_time, ..
             } => {
-                *spent += u128::from(charged) * u128::from(refill_time.0);
+                *spent += u128::from(charged) * u128::from(refill_time.as_micros());
             }
         }
         within.saturating_add(beyond) - charged
@@ -221,7 +221,7 @@
                 },
             ) => {
                 (*spent, *at) = (
-                    old.div_ceil(u128::from(was.0)) * u128::from(refill_time.0),
+                    old.div_ceil(u128::from(was.as_micros())) * u128::from(refill_time.as_micros()),
                     *then,
                 );
                 if was == refill_time {
@@ -234,7 +234,7 @@
 
     /// Brings back a state that was kept; a period that has ended since is begun anew by the next
     /// advance.
-    pub fn restore(&mut self, kept: MicroTokens, since: Time) {
+    pub fn restore(&mut self, kept: MicroTokens, since: Timestamp) {
         match self {
             Gauge::Each { start, spent, .. } if since >= *start => *spent = kept,
             Gauge::Each { .. } => {}
@@ -244,7 +244,10 @@
                 refill_time,
                 ..
             } => {
-                (*spent, *at) = (u128::from(kept) * u128::from(refill_time.0), since);
+                (*spent, *at) = (
+                    u128::from(kept) * u128::from(refill_time.as_micros()),
+                    since,
+                );
             }
         }
     }
@@ -271,7 +274,8 @@
                 at,
             } => {
                 let wait = spent.div_ceil(u128::from(limit.max(1)));
-                let full_at = at + Dur(wait.min(u128::from(Dur::MAX.0)) as u64);
+                let full_at =
+                    at + Span::from_micros(wait.min(u128::from(Span::MAX.as_micros())) as u64);
                 let refills_at = now.wall + (full_at - now.monotonic);
                 BudgetStatus {
                     limit,
--- a/src/spend/ledger.rs
+++ b/src/spend/ledger.rs
@@ -6,7 +6,7 @@
 
 use super::gauge::{Gauge, Short};
 use super::{BudgetStatus, BudgetTree, BudgetTreeError, ClockReading, MAX_DEPTH, MicroTokens};
-use crate::interface::Dur;
+use crate::interface::Span;
 
 pub use snapshot::NodeState;
 
@@ -45,7 +45,7 @@
     /// Its budget's name.
     pub budget: String,
     /// When to come back; none: the whole limit is smaller than what was asked for.
-    pub retry_after: Option<Dur>,
+    pub retry_after: Option<Span>,
     /// What the budget shows.
     pub status: BudgetStatus,
     /// What is reserved at the node.
@@ -228,7 +228,7 @@
         amount: MicroTokens,
         now: ClockReading,
     ) -> Result<(), BudgetExceeded> {
-        let mut worst: Option<(Dur, BudgetExceeded)> = None;
+        let mut worst: Option<(Span, BudgetExceeded)> = None;
         let path: Vec<usize> = self.path(node).collect();
         for (up, &k) in path.iter().enumerate() {
             let n = &mut self.nodes[k];
@@ -238,7 +238,7 @@
                     continue;
                 };
                 let (wait, retry_after) = match short {
-                    Short::Never => (Dur::MAX, None),
+                    Short::Never => (Span::MAX, None),
                     Short::Until(wait) => (wait, Some(wait)),
                 };
                 if worst.as_ref().is_none_or(|w| wait > w.0) {
--- a/src/spend/mod.rs
+++ b/src/spend/mod.rs
@@ -29,7 +29,7 @@
 pub use ledger::{BudgetExceeded, Charge, Ledger, NodeId, NodeState, NodeUsage, ReservationId};
 pub use period::{Period, PeriodLength};
 
-use crate::interface::Dur;
+use crate::interface::Span;
 
 /// Millionths of a token.
 pub type MicroTokens = u64;
@@ -98,7 +98,7 @@
         /// How much at once: the burst.
         amount: MicroTokens,
         /// How long an empty one takes to be full again.
-        refill_time: Dur,
+        refill_time: Span,
     },
 }
 
@@ -195,7 +195,7 @@
                 if matches!(
                     budget.limit,
                     BudgetLimit::TokenBucket {
-                        refill_time: Dur(0),
+                        refill_time: Span::ZERO,
                         ..
                     }
                 ) {
