--- a/benches/edge/router.rs
+++ b/benches/edge/router.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use standins::ModelServer;
-use stilespan::identity;
+use stilespan::identity::{self, KeyParts};
 
 /// The nodes: a district, two tenants in it, a class and a person.
 const NODES: [&str; 5] = ["d", "d/a", "d/b", "d/a/c", "d/a/c/p"];
@@ -113,7 +113,7 @@
 
 fn key_entry(node: &str) -> String {
     let key = api_key(node);
-    let (id, secret) = identity::split_key(&key).unwrap();
+    let KeyParts { id, secret } = identity::split_key(&key).unwrap();
     let hash = identity::format_hash(&identity::hash_secret(secret));
     format!("[[key]]\nid = \"{id}\"\nnode = \"{node}\"\nhash = \"{hash}\"\n")
 }
--- a/src/edge/config/budgets.rs
+++ b/src/edge/config/budgets.rs
@@ -11,10 +11,7 @@
 use super::source_file::SourceFile;
 use crate::config::ConfigError;
 use crate::interface::Span;
-use crate::spend::{
-    Budget, BudgetLimit, MAX_BUDGET_TOKENS, MICRO_TOKENS_PER_TOKEN, MicroTokens, Period,
-    PeriodLength,
-};
+use crate::spend::{Budget, BudgetLimit, MAX_BUDGET_TOKENS, MicroTokens, Period, PeriodLength};
 
 /// The rates of a budget, in tokens a second.
 const RATE_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1e9;
@@ -62,7 +59,7 @@
 
     fn amount(&self, tokens: &Spanned<i64>) -> Result<MicroTokens, ConfigError> {
         match u64::try_from(*tokens.get_ref()) {
-            Ok(count) if count <= MAX_BUDGET_TOKENS => Ok(count * MICRO_TOKENS_PER_TOKEN),
+            Ok(count) if count <= MAX_BUDGET_TOKENS => Ok(MicroTokens::from_tokens(count)),
             _ => Err(self.file.error(tokens.span(), Problem::TokensOutOfRange)),
         }
     }
@@ -77,7 +74,7 @@
             return Err(self.file.error(rate.span(), Problem::RateWithPeriod));
         }
         let tokens_per_second = self.file.number_in(RATE_RANGE, "per_second", rate)?;
-        let tokens = amount as f64 / MICRO_TOKENS_PER_TOKEN as f64;
+        let tokens = amount.as_u64() as f64 / MicroTokens::PER_TOKEN as f64;
         let refill_time = Span::from_secs_f64(tokens / tokens_per_second).max(MIN_REFILL_TIME);
         let name = raw.name.as_deref().unwrap_or(DEFAULT_RATE_NAME);
         Ok(Budget {
--- a/src/edge/config/models.rs
+++ b/src/edge/config/models.rs
@@ -7,8 +7,8 @@
 use super::source_file::SourceFile;
 use crate::config::ConfigError;
 use crate::interface::Span;
-use crate::routing::{Catalog, CatalogError, ModelNumbers, ModelSpec, Named};
-use crate::spend::Price;
+use crate::routing::{AliasSpec, Catalog, CatalogError, ModelNumbers, ModelSpec, PriceSpec};
+use crate::spend::{MicroTokens, Price};
 
 /// Builds the catalog. `classes` are the names that a model's class may have.
 pub(super) fn build_catalog(
@@ -19,18 +19,18 @@
 ) -> Result<Catalog, ConfigError> {
     check_classes(file, &raw.models, classes)?;
     let specs: Vec<ModelSpec> = raw.models.iter().map(model_spec).collect();
-    let aliases: Vec<Named<String>> = raw.aliases.iter().map(alias).collect();
-    let prices: Vec<Named<Price>> = raw.prices.iter().map(price).collect();
+    let aliases: Vec<AliasSpec> = raw.aliases.iter().map(alias).collect();
+    let prices: Vec<PriceSpec> = raw.prices.iter().map(price).collect();
     if specs.is_empty() {
         return Err(file.error(0..0, Problem::NoModels));
     }
     Catalog::build(&specs, &aliases, &prices, numbers).map_err(|error| {
         let (place, problem) = match error {
-            CatalogError::Model(index, problem) => (raw.models[index].span(), problem),
-            CatalogError::Alias(index, problem) => (raw.aliases[index].span(), problem),
-            CatalogError::Price(index, problem) => (raw.prices[index].span(), problem),
+            CatalogError::Model { index, problem } => (raw.models[index].span(), problem.into()),
+            CatalogError::Alias { index, problem } => (raw.aliases[index].span(), problem.into()),
+            CatalogError::Price { index, problem } => (raw.prices[index].span(), problem.into()),
         };
-        file.error(place, Problem::Catalog(problem))
+        file.error(place, problem)
     })
 }
 
@@ -61,21 +61,21 @@
     }
 }
 
-fn alias(raw: &Spanned<RawAlias>) -> Named<String> {
+fn alias(raw: &Spanned<RawAlias>) -> AliasSpec {
     let alias = raw.get_ref();
-    Named {
+    AliasSpec {
         name: alias.name.clone(),
-        value: alias.model.clone(),
+        model: alias.model.clone(),
     }
 }
 
-fn price(raw: &Spanned<RawPrice>) -> Named<Price> {
+fn price(raw: &Spanned<RawPrice>) -> PriceSpec {
     let price = raw.get_ref();
-    Named {
-        name: price.model.clone(),
-        value: Price {
-            per_prompt_token: price.per_prompt_token,
-            per_output_token: price.per_output_token,
+    PriceSpec {
+        model: price.model.clone(),
+        price: Price {
+            per_prompt_token: MicroTokens::new(price.per_prompt_token),
+            per_output_token: MicroTokens::new(price.per_output_token),
         },
     }
 }
--- a/src/edge/config/nodes.rs
+++ b/src/edge/config/nodes.rs
@@ -56,7 +56,7 @@
         }
         table.tree.check().map_err(|error| {
             let place = raw.nodes[error.node].span();
-            file.error(place, Problem::BudgetTree(error.problem))
+            file.error(place, error.problem.into())
         })?;
         Ok(table)
     }
--- a/src/edge/config/problem.rs
+++ b/src/edge/config/problem.rs
@@ -3,7 +3,8 @@
 use thiserror::Error;
 
 use super::{MAX_INSTANCES, MAX_OUTPUT_SLICE};
-use crate::spend::MAX_BUDGET_TOKENS;
+use crate::routing::{AliasProblem, ModelProblem, PriceProblem};
+use crate::spend::{BudgetNodeError, MAX_BUDGET_TOKENS};
 
 /// What is wrong at a place of a file.
 #[derive(Debug, Error)]
@@ -46,12 +47,14 @@
     NoModels,
     #[error("only a school (district/school) has a weight")]
     WeightOfNoTenant,
-    /// An entry of the catalog of models.
-    #[error("{0}")]
-    Catalog(String),
-    /// A node of the tree of budgets.
-    #[error("{0}")]
-    BudgetTree(String),
+    #[error(transparent)]
+    Model(#[from] ModelProblem),
+    #[error(transparent)]
+    Alias(#[from] AliasProblem),
+    #[error(transparent)]
+    Price(#[from] PriceProblem),
+    #[error(transparent)]
+    Node(#[from] BudgetNodeError),
     #[error("{0:?} is no id of 1 to 32 letters, digits and _")]
     InvalidKeyId(String),
     #[error("key {id}: no node {node:?}")]
--- a/src/edge/listings.rs
+++ b/src/edge/listings.rs
@@ -7,7 +7,7 @@
 use super::{Caller, Edge};
 use crate::api::ApiError;
 use crate::interface::Timestamp;
-use crate::spend::{BudgetStatus, MICRO_TOKENS_PER_TOKEN, MicroTokens, NodeUsage};
+use crate::spend::{MicroTokens, NamedStatus, NodeUsage};
 
 /// The time of a budget that never refills.
 const NEVER: Timestamp = Timestamp::from_micros(u64::MAX);
@@ -65,21 +65,17 @@
     let budgets: Vec<Value> = usage
         .budgets
         .iter()
-        .map(|(name, status)| budget_object(name, status, usage.reserved))
+        .map(|budget| budget_object(budget, usage.reserved))
         .collect();
-    json!({"object": "budget", "node": usage.path, "uncharged": rounded_up(usage.uncharged),
+    json!({"object": "budget", "node": usage.path, "uncharged": usage.uncharged.tokens_rounded_up(),
         "budgets": budgets})
 }
 
-fn budget_object(name: &str, status: &BudgetStatus, reserved: MicroTokens) -> Value {
+fn budget_object(budget: &NamedStatus, reserved: MicroTokens) -> Value {
+    let status = &budget.status;
     let refills_at = status.refills_at;
     let refills_at = (refills_at < NEVER).then_some(refills_at.as_micros() / MICROS_PER_SECOND);
-    json!({"name": name, "limit": status.limit / MICRO_TOKENS_PER_TOKEN,
-        "used": rounded_up(status.spent), "reserved": rounded_up(reserved),
+    json!({"name": budget.name, "limit": status.limit.tokens_rounded_down(),
+        "used": status.spent.tokens_rounded_up(), "reserved": reserved.tokens_rounded_up(),
         "refills_at": refills_at})
 }
-
-/// An amount in tokens, rounded up.
-fn rounded_up(amount: MicroTokens) -> u64 {
-    amount.div_ceil(MICRO_TOKENS_PER_TOKEN)
-}
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -31,7 +31,7 @@
 mod submissions;
 mod usage_meter;
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
@@ -44,7 +44,7 @@
 use crate::core::CoreHandle;
 use crate::interface::{Class, Effect, Settings, Span, Timestamp};
 use crate::routing::{FirstTokenEstimates, ModelNumbers};
-use crate::spend::{ClockReading, Ledger};
+use crate::spend::{BudgetTreeError, ClockReading, Ledger};
 pub use answer_stream::{AnswerStream, StreamItem};
 pub use budget_cutoff::BudgetCutoff;
 pub use caller::Caller;
@@ -106,7 +106,7 @@
     ) -> Result<Edge, ConfigError> {
         let clock = Clock::start();
         let ledger = Ledger::new(&edge_config.tree, clock_reading(clock))
-            .map_err(|error| ConfigError::malformed(&file, error.problem))?;
+            .map_err(|error| invalid_tree(&file, &error))?;
         let estimates = FirstTokenEstimates::new(expected_first_token_time(&config.settings));
         let classes = config.classes.iter().zip(&config.settings.classes);
         Ok(Edge {
@@ -152,7 +152,7 @@
         state
             .ledger
             .reload(&config.tree, now)
-            .map_err(|error| ConfigError::malformed(&self.file, error.problem))?;
+            .map_err(|error| invalid_tree(&self.file, &error))?;
         let file = self.file.display();
         if config.tenants != state.config.tenants {
             warn!("{file}: tenants or quotas changed: this takes effect after a restart");
@@ -170,7 +170,7 @@
             return Ok(Caller::default());
         };
         match keys.authenticate(authorization) {
-            Ok((key_id, node)) => Ok(Caller::authenticated(key_id, node)),
+            Ok(key) => Ok(Caller::authenticated(key.id, key.node)),
             Err(error) => Err(authentication_error(error)),
         }
     }
@@ -182,6 +182,10 @@
     }
 }
 
+fn invalid_tree(file: &Path, error: &BudgetTreeError) -> ConfigError {
+    ConfigError::malformed(file, error.problem.to_string())
+}
+
 /// The shortest first-token objective of all classes.
 fn expected_first_token_time(settings: &Settings) -> Span {
     let objectives = settings.classes.iter().map(|class| class.aim);
--- a/src/edge/model_discovery.rs
+++ b/src/edge/model_discovery.rs
@@ -20,6 +20,7 @@
 use crate::core::{Endpoint, EndpointsUpdate, Message};
 use crate::interface::{ListKind, ReplicaId, State, Timestamp};
 use crate::net::connection_limit::ConnectionLimit;
+use crate::routing::ReportOutcome;
 use poll::{PollError, poll_models};
 
 /// The most hosts that are polled at once.
@@ -38,7 +39,7 @@
 struct PollResult {
     replica: ReplicaId,
     /// When the polled process started, as the endpoint list has it.
-    started: Timestamp,
+    started_at: Timestamp,
     models: Result<Vec<String>, PollError>,
 }
 
@@ -133,10 +134,12 @@
             }
         };
         let mut state = self.edge.state();
-        let (changed, mismatch) =
-            state
-                .inventory
-                .record_report(result.replica, result.started, models);
+        let outcome = state
+            .inventory
+            .record_report(result.replica, result.started_at, models);
+        let ReportOutcome::Changed { mismatch } = outcome else {
+            return None;
+        };
         if let Some(mismatch) = mismatch {
             warn!(
                 "{}: the endpoint list and the server differ, the server's report applies: it lacks [{}] and has [{}]",
@@ -145,9 +148,6 @@
                 mismatch.unlisted.join(" ")
             );
         }
-        if !changed {
-            return None;
-        }
         let catalogs = state.catalogs();
         state.inventory.recount_hosts(&catalogs);
         host.endpoint.entry.models = state.inventory.servable_models(result.replica, &catalogs);
@@ -184,11 +184,11 @@
             let address = host.endpoint.address.clone();
             let connection_limit = self.connection_limit.clone();
             let replica = host.endpoint.entry.replica;
-            let started = host.endpoint.entry.started;
+            let started_at = host.endpoint.entry.started;
             self.polls.spawn(async move {
                 PollResult {
                     replica,
-                    started,
+                    started_at,
                     models: poll_models(&address, &connection_limit).await,
                 }
             });
--- a/src/edge/rejection.rs
+++ b/src/edge/rejection.rs
@@ -5,7 +5,7 @@
 use crate::api::ApiError;
 use crate::identity::AuthenticationError;
 use crate::routing::{RouteError, RouteExhausted};
-use crate::spend::{BudgetExceeded, ClockReading, MICRO_TOKENS_PER_TOKEN};
+use crate::spend::{BudgetExceeded, ClockReading};
 
 /// The most characters of a client's text that an error repeats.
 const MAX_ECHOED_CHARS: usize = 128;
@@ -118,13 +118,13 @@
     now: ClockReading,
 ) -> ApiError {
     let BudgetExceeded { budget, status, .. } = exceeded;
-    let quota = status.limit / MICRO_TOKENS_PER_TOKEN;
+    let quota = status.limit.tokens_rounded_down();
     let window = status.window.as_micros().div_ceil(MICROS_PER_SECOND);
     let available = status
         .limit
         .saturating_sub(status.spent)
         .saturating_sub(exceeded.reserved);
-    let remaining = available / MICRO_TOKENS_PER_TOKEN;
+    let remaining = available.tokens_rounded_down();
     let reset = (status.refills_at - now.wall)
         .as_micros()
         .div_ceil(MICROS_PER_SECOND);
--- a/src/edge/reservation_guard.rs
+++ b/src/edge/reservation_guard.rs
@@ -6,7 +6,7 @@
 
 use super::Edge;
 use super::usage_meter::TokenUsage;
-use crate::spend::{BudgetExceeded, NodeId, Price, ReservationId};
+use crate::spend::{BudgetExceeded, MicroTokens, NodeId, Price, ReservationId};
 
 /// RAII guard of a reservation: it ends with its request, however that ends. Charges what was
 /// forwarded of the answer if it is dropped without [`ReservationGuard::settle`].
@@ -113,7 +113,7 @@
         let cost = self.price.cost(used.prompt_tokens, used.output_tokens);
         let now = self.edge.clock_reading();
         let charge = self.edge.state().ledger.settle(reservation, cost, now);
-        if charge.uncharged > 0 {
+        if charge.uncharged > MicroTokens::ZERO {
             debug!(
                 "{} of {} micro-tokens exceed the budget and are not charged",
                 charge.uncharged, charge.used
--- a/src/edge/submissions.rs
+++ b/src/edge/submissions.rs
@@ -23,7 +23,7 @@
 
 impl Edge {
     /// Submits a request along its model's fallback chain until one model begins to answer.
-    /// Cancel safe: dropping the future cancels the attempt in flight, and nothing is charged.
+    /// Dropping the future before that cancels the attempt in flight, and nothing is charged.
     pub async fn start(self: &Arc<Edge>, request: ChatRequest) -> Result<AnswerStream, Rejection> {
         let span = info_span!(
             "request",
@@ -45,8 +45,8 @@
 /// A request on its way along the fallback chain. Owns its reservation until an answer begins.
 struct Submissions {
     edge: Arc<Edge>,
-    request: ChatRequest,
     plan: RequestPlan,
+    request: ChatRequest,
     span: tracing::Span,
     /// The core was given at least one submission.
     submitted: bool,
--- a/tests/edge/config_files.rs
+++ b/tests/edge/config_files.rs
@@ -1,7 +1,7 @@
 //! The configuration files of the router under test: models, nodes with budgets, and one key for
 //! each node.
 
-use stilespan::identity;
+use stilespan::identity::{self, KeyParts};
 
 /// The keys' file, three models, an alias and a price.
 const MODELS: &str = r#"
@@ -71,7 +71,7 @@
 
 fn key_entry(node: &str) -> String {
     let key = api_key(node);
-    let (id, secret) = identity::split_key(&key).unwrap();
+    let KeyParts { id, secret } = identity::split_key(&key).unwrap();
     let hash = identity::format_hash(&identity::hash_secret(secret));
     format!("[[key]]\nid = \"{id}\"\nnode = \"{node}\"\nhash = \"{hash}\"\n")
 }
--- a/tests/edge_load/config_files.rs
+++ b/tests/edge_load/config_files.rs
@@ -90,7 +90,7 @@
 fn keys_file() -> String {
     let entry = |tenant: &str| {
         let key = api_key(tenant);
-        let (_, secret) = identity::split_key(&key).unwrap();
+        let secret = identity::split_key(&key).unwrap().secret;
         let hash = identity::format_hash(&identity::hash_secret(secret));
         format!("[[key]]\nid = \"{tenant}\"\nnode = \"d/{tenant}\"\nhash = \"{hash}\"\n")
     };
