--- a/src/edge/chat_body.rs
+++ b/src/edge/chat_body.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedPrefix {
     /// A hash of its text.
-    pub id: u64,
+    pub hash: u64,
     /// Its estimated tokens.
     pub tokens: u32,
 }
@@ -157,7 +157,7 @@
     }
     let text = text_parts(opening).concat();
     (!text.is_empty()).then(|| SharedPrefix {
-        id: replica_id(&text).0,
+        hash: replica_id(&text).0,
         tokens: token_count(text.chars().count()),
     })
 }
--- a/src/edge/request_plan.rs
+++ b/src/edge/request_plan.rs
@@ -89,7 +89,7 @@
             class: class as u32,
             tenant: self.tenant_number(config, &request.caller),
             session: chat.session,
-            prefix: prefix.map(|prefix| prefix.id),
+            prefix: prefix.map(|prefix| prefix.hash),
             prompt_tokens: chat.prompt_tokens,
             shared_prefix_tokens: prefix.map_or(0, |prefix| prefix.tokens),
             max_output_tokens: 0,
