--- a/src/batch/http_api/chat.rs
+++ b/src/batch/http_api/chat.rs
@@ -8,6 +8,7 @@
 use crate::api::ApiError;
 use crate::batch::edge_access::EdgeAccess;
 use crate::edge::{ChatBody, ChatRequest};
+use crate::interface::stable_hash;
 use crate::net::http::{Body, Head, HttpError};
 use crate::request_ids::is_request_id;
 
@@ -30,7 +31,7 @@
             trace.ok_or_else(|| ApiError::new(409, "X-Trace-Id", "X-Trace-Id is in use"))?;
         let timeout = client_timeout(head)?;
         if let Some(session) = head.get("x-object") {
-            chat.session = Some(crate::wire::replica_id(session).0);
+            chat.session = Some(stable_hash(session));
         }
         let is_streamed = chat.stream;
         let request = ChatRequest {
--- a/src/batch/line/request.rs
+++ b/src/batch/line/request.rs
@@ -10,8 +10,8 @@
 use crate::api::ApiError;
 use crate::core::{Payload, Request, RequestAttributes};
 use crate::edge::ChatBody;
+use crate::interface::stable_hash;
 use crate::net::upstream::payload;
-use crate::wire::replica_id;
 
 /// The longest `custom_id`: it is held in memory for each line in flight.
 pub(super) const MAX_CUSTOM_ID_BYTES: usize = 512;
@@ -153,7 +153,7 @@
         return None;
     }
     Some(SharedPrefix {
-        hash: replica_id(&text).0,
+        hash: stable_hash(&text),
         tokens: estimate_tokens(text.chars().count()),
     })
 }
--- a/src/edge/chat_body.rs
+++ b/src/edge/chat_body.rs
@@ -5,7 +5,7 @@
 
 use super::usage_meter::estimate_tokens;
 use crate::api::ApiError;
-use crate::wire::replica_id;
+use crate::interface::stable_hash;
 
 /// The opening of a prompt (the system or developer message) that other requests share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -157,7 +157,7 @@
     }
     let text = text_parts(opening).concat();
     (!text.is_empty()).then(|| SharedPrefix {
-        hash: replica_id(&text).0,
+        hash: stable_hash(&text),
         tokens: token_count(text.chars().count()),
     })
 }
@@ -167,7 +167,7 @@
     let name = ["prompt_cache_key", "user"]
         .iter()
         .find_map(|key| object.get(*key)?.as_str());
-    name.map(|name| replica_id(name).0)
+    name.map(stable_hash)
 }
 
 /// The estimated tokens of so many characters; at least 1.
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -42,7 +42,7 @@
 use crate::config::{Config, ConfigError};
 use crate::core::Clock;
 use crate::core::CoreHandle;
-use crate::interface::{Class, Effect, Settings, Span, Timestamp};
+use crate::interface::{Class, Idempotency, Settings, Span, Timestamp};
 use crate::routing::{FirstTokenEstimates, ModelNumbers};
 use crate::spend::{BudgetTreeError, ClockReading, Ledger};
 pub use answer_stream::{AnswerStream, StreamItem};
@@ -74,7 +74,7 @@
         RequestClass {
             name: name.into(),
             deadline: class.deadline.into(),
-            idempotent: class.effect == Effect::Safe,
+            idempotent: class.idempotency == Idempotency::Idempotent,
         }
     }
 }
@@ -188,7 +188,10 @@
 
 /// The shortest first-token objective of all classes.
 fn expected_first_token_time(settings: &Settings) -> Span {
-    let objectives = settings.classes.iter().map(|class| class.aim);
+    let objectives = settings
+        .classes
+        .iter()
+        .map(|class| class.first_token_objective);
     objectives.min().unwrap_or(DEFAULT_FIRST_TOKEN_TIME)
 }
 
--- a/src/edge/model_discovery.rs
+++ b/src/edge/model_discovery.rs
@@ -18,7 +18,7 @@
 
 use super::Edge;
 use crate::core::{Endpoint, EndpointsUpdate, Message};
-use crate::interface::{ListKind, ReplicaId, State, Timestamp};
+use crate::interface::{EndpointListKind, EndpointState, ReplicaId, Timestamp};
 use crate::net::connection_limit::ConnectionLimit;
 use crate::routing::ReportOutcome;
 use poll::{PollError, poll_models};
@@ -97,7 +97,10 @@
     fn apply_list(&mut self, mut update: EndpointsUpdate) -> Message {
         let mut state = self.edge.state();
         let catalogs = state.catalogs();
-        if matches!(update.kind, ListKind::Complete | ListKind::Persisted) {
+        if matches!(
+            update.kind,
+            EndpointListKind::Complete | EndpointListKind::Persisted
+        ) {
             let listed: HashSet<ReplicaId> = update
                 .endpoints
                 .iter()
@@ -110,8 +113,8 @@
             let listed_models = endpoint.models.as_deref();
             let entry = &mut endpoint.entry;
             let inventory = &mut state.inventory;
-            inventory.set_listed(entry.replica, entry.state, entry.started, listed_models);
-            if entry.state == State::Terminated {
+            inventory.set_listed(entry.replica, entry.state, entry.started_at, listed_models);
+            if entry.state == EndpointState::Removed {
                 self.hosts.remove(&entry.replica);
                 continue;
             }
@@ -184,7 +187,7 @@
             let address = host.endpoint.address.clone();
             let connection_limit = self.connection_limit.clone();
             let replica = host.endpoint.entry.replica;
-            let started_at = host.endpoint.entry.started;
+            let started_at = host.endpoint.entry.started_at;
             self.polls.spawn(async move {
                 PollResult {
                     replica,
@@ -200,7 +203,7 @@
     fn is_due(&self, now: Instant) -> bool {
         !self.poll_in_flight
             && self.next_poll <= now
-            && self.endpoint.entry.state == State::InService
+            && self.endpoint.entry.state == EndpointState::InService
     }
 }
 
@@ -209,7 +212,7 @@
     let entry = &endpoint.entry;
     let same_process = hosts
         .get(&entry.replica)
-        .filter(|host| host.endpoint.entry.started == entry.started);
+        .filter(|host| host.endpoint.entry.started_at == entry.started_at);
     let host = KnownHost {
         endpoint: endpoint.clone(),
         next_poll: same_process.map_or_else(Instant::now, |host| host.next_poll),
@@ -220,7 +223,7 @@
 
 fn partial_update(endpoints: Vec<Endpoint>) -> Message {
     Message::EndpointsUpdated(EndpointsUpdate {
-        kind: ListKind::Partial,
+        kind: EndpointListKind::Partial,
         endpoints,
     })
 }
--- a/src/router/open/edge.rs
+++ b/src/router/open/edge.rs
@@ -79,6 +79,6 @@
         .quotas
         .extend(tenants.iter().map(|tenant| tenant.quota));
     if settings.quotas.len() == tenants.len() {
-        settings.over_share_worth = edge_config.over_quota_weight;
+        settings.over_quota_weight = edge_config.over_quota_weight;
     }
 }
--- a/src/routing/model_inventory.rs
+++ b/src/routing/model_inventory.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use super::Catalog;
-use crate::interface::{Models, ReplicaId, Span, State, Timestamp};
+use crate::interface::{EndpointState, ReplicaId, ServedModel, ServedModels, Span, Timestamp};
 
 /// The most models of one report; the rest of a longer one is ignored.
 const MAX_REPORTED_MODELS: usize = 4096;
@@ -55,7 +55,7 @@
 
 /// The models of one host, by their names.
 struct HostModels {
-    state: State,
+    state: EndpointState,
     /// When the host was last started.
     started_at: Timestamp,
     /// The models that the endpoint list names; none where it names none.
@@ -78,12 +78,12 @@
     pub fn set_listed(
         &mut self,
         replica: ReplicaId,
-        state: State,
+        state: EndpointState,
         started_at: Timestamp,
         models: Option<&[String]>,
     ) {
         let previous = self.hosts.remove(&replica);
-        if state == State::Terminated {
+        if state == EndpointState::Removed {
             return;
         }
         let same_start = previous.filter(|host| host.started_at == started_at);
@@ -128,10 +128,10 @@
     /// The models of these catalogs (the one in force, and those that requests in flight still use)
     /// that a host serves, for the decision module. A host of which nothing is known is taken to
     /// have every base model.
-    pub fn servable_models(&self, replica: ReplicaId, catalogs: &[Arc<Catalog>]) -> Models {
+    pub fn servable_models(&self, replica: ReplicaId, catalogs: &[Arc<Catalog>]) -> ServedModels {
         match self.hosts.get(&replica) {
-            Some(host) => Models::only(catalogs.iter().flat_map(|c| host.load_times(c))),
-            None => Models::only([]),
+            Some(host) => ServedModels::only(catalogs.iter().flat_map(|c| host.served_models(c))),
+            None => ServedModels::only([]),
         }
     }
 
@@ -140,11 +140,11 @@
     pub fn recount_hosts(&mut self, catalogs: &[Arc<Catalog>]) {
         self.host_counts.clear();
         for host in self.hosts.values() {
-            if host.state != State::InService {
+            if host.state != EndpointState::InService {
                 continue;
             }
-            let models = catalogs.iter().flat_map(|c| host.load_times(c));
-            let mut numbers: Vec<u32> = models.map(|(number, _)| number).collect();
+            let models = catalogs.iter().flat_map(|c| host.served_models(c));
+            let mut numbers: Vec<u32> = models.map(|served| served.model).collect();
             numbers.sort_unstable();
             numbers.dedup();
             for number in numbers {
@@ -160,9 +160,8 @@
 }
 
 impl HostModels {
-    /// The numbers of the models that the host serves, each with the time to load it: zero where it
-    /// is loaded.
-    fn load_times<'a>(&'a self, catalog: &'a Catalog) -> impl Iterator<Item = (u32, Span)> + 'a {
+    /// The models that the host serves, each with the time to load it: zero where it is loaded.
+    fn served_models<'a>(&'a self, catalog: &'a Catalog) -> impl Iterator<Item = ServedModel> + 'a {
         catalog.models().iter().filter_map(|model| {
             let load_time = match model.base {
                 Some(base) if !self.has_adapter(&model.name) => self
@@ -170,7 +169,10 @@
                     .then_some(model.load_time),
                 _ => self.has_model(&model.name).then_some(Span::ZERO),
             };
-            Some((model.number, load_time?))
+            Some(ServedModel {
+                model: model.number,
+                load_time: load_time?,
+            })
         })
     }
 
