--- a/src/edge/budget_cutoff.rs
+++ b/src/edge/budget_cutoff.rs
@@ -3,6 +3,7 @@
 use bytes::BytesMut;
 use serde_json::{Value, json};
 
+use super::rejection::seconds_rounded_up;
 use super::usage_meter::TokenUsage;
 use crate::spend::BudgetExceeded;
 
@@ -22,9 +23,7 @@
         BudgetCutoff {
             node: exceeded.node.clone(),
             budget: exceeded.budget.clone(),
-            retry_after_seconds: exceeded
-                .retry_after
-                .map(|time| time.as_micros().div_ceil(1_000_000)),
+            retry_after_seconds: exceeded.retry_after.map(seconds_rounded_up),
         }
     }
 
--- a/src/edge/listings.rs
+++ b/src/edge/listings.rs
@@ -1,5 +1,7 @@
 //! What the API lists: the models and budgets of a caller, as JSON objects.
 
+use std::time::Duration;
+
 use serde_json::{Value, json};
 
 use super::rejection::model_not_found;
@@ -11,8 +13,6 @@
 
 /// The time of a budget that never refills.
 const NEVER: Timestamp = Timestamp::from_micros(u64::MAX);
-/// Microseconds in a second.
-const MICROS_PER_SECOND: u64 = 1_000_000;
 
 impl Edge {
     /// The models that a caller may use, in the public OpenAI form.
@@ -74,7 +74,8 @@
 fn budget_object(budget: &NamedStatus, reserved: MicroTokens) -> Value {
     let status = &budget.status;
     let refills_at = status.refills_at;
-    let refills_at = (refills_at < NEVER).then_some(refills_at.as_micros() / MICROS_PER_SECOND);
+    let unix_seconds = || Duration::from_micros(refills_at.as_micros()).as_secs();
+    let refills_at = (refills_at < NEVER).then(unix_seconds);
     json!({"name": budget.name, "limit": status.limit.tokens_rounded_down(),
         "used": status.spent.tokens_rounded_up(), "reserved": reserved.tokens_rounded_up(),
         "refills_at": refills_at})
--- a/src/edge/rejection.rs
+++ b/src/edge/rejection.rs
@@ -4,6 +4,7 @@
 
 use crate::api::ApiError;
 use crate::identity::AuthenticationError;
+use crate::interface::Span;
 use crate::routing::{RouteError, RouteExhausted};
 use crate::spend::{BudgetExceeded, ClockReading};
 
@@ -19,13 +20,13 @@
     pub error: ApiError,
     /// The attempts that were made at model servers.
     pub attempts: u32,
-    /// Whether a budget is the cause.
+    /// Why, as far as front ends treat causes differently.
     pub cause: RejectionCause,
     /// After what time a retry may succeed, if that is known.
     pub retry_after: Option<Duration>,
 }
 
-/// Why a request was rejected, as far as front ends treat it differently.
+/// The cause of a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionCause {
     /// A budget is exhausted; it has capacity for the request again after `refill_in`.
@@ -78,6 +79,11 @@
     }
 }
 
+/// A span in whole seconds, as clients are told when to come back: not before it is over.
+pub(super) fn seconds_rounded_up(span: Span) -> u64 {
+    span.as_micros().div_ceil(MICROS_PER_SECOND)
+}
+
 fn route_exhausted_error(exhausted: &RouteExhausted, retry_after: Option<Duration>) -> ApiError {
     if exhausted.no_host {
         let message =
@@ -119,15 +125,13 @@
 ) -> ApiError {
     let BudgetExceeded { budget, status, .. } = exceeded;
     let quota = status.limit.tokens_rounded_down();
-    let window = status.window.as_micros().div_ceil(MICROS_PER_SECOND);
+    let window = seconds_rounded_up(status.window);
     let available = status
         .limit
         .saturating_sub(status.spent)
         .saturating_sub(exceeded.reserved);
     let remaining = available.tokens_rounded_down();
-    let reset = (status.refills_at - now.wall)
-        .as_micros()
-        .div_ceil(MICROS_PER_SECOND);
+    let reset = seconds_rounded_up(status.refills_at - now.wall);
     error
         .with(
             "RateLimit-Policy",
