--- a/benches/edge/main.rs
+++ b/benches/edge/main.rs
@@ -7,9 +7,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
+use fake_servers::{ModelServer, RequestLog, ServerOptions};
 use load::{chat_request, send_load, send_until};
 use router::Router;
-use standins::{ModelServer, Spec, Tally};
 
 /// How often each of the budgets' depths is measured, by turns.
 const ROUNDS: usize = 3;
@@ -28,14 +28,16 @@
     compare_quotas(&narrow).await;
 }
 
-async fn start_server(slots: usize, first_token_time: Duration) -> ModelServer {
-    let spec = Spec {
+async fn start_server(max_concurrent_requests: usize, first_token_delay: Duration) -> ModelServer {
+    let spec = ServerOptions {
         models: vec!["hint".into()],
-        slots,
-        first: first_token_time,
-        ..Spec::default()
+        max_concurrent_requests,
+        first_token_delay,
+        ..ServerOptions::default()
     };
-    ModelServer::start(spec, Tally::default()).await.unwrap()
+    ModelServer::start(spec, RequestLog::default())
+        .await
+        .unwrap()
 }
 
 /// Sums over the rounds of one depth.
--- a/benches/edge/router.rs
+++ b/benches/edge/router.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use standins::ModelServer;
+use fake_servers::ModelServer;
 use stilespan::identity::{self, KeyParts};
 
 /// The nodes: a district, two tenants in it, a class and a person.
--- a/tests/edge/adapters.rs
+++ b/tests/edge/adapters.rs
@@ -1,5 +1,6 @@
 //! Adapters: fine-tuned models that run on the hosts of their base model.
 
+use fake_servers::Adapter;
 use serde_json::json;
 
 use crate::config_files::NODES;
@@ -9,7 +10,10 @@
 #[tokio::test]
 async fn adapter_runs_on_its_base() {
     let mut host = server_spec("a", &["hint"]);
-    host.adapters = vec![("maths".into(), "hint".into())];
+    host.adapters = vec![Adapter {
+        name: "maths".into(),
+        base_model: "hint".into(),
+    }];
     let specs = vec![host, server_spec("b", &["marker"])];
     let fixture = EdgeFixture::start(specs, NODES).await;
     let body = chat_body("maths", json!({"max_tokens": 5}));
@@ -19,7 +23,7 @@
         (200, Some("maths")),
         "{got:?}"
     );
-    let requests = fixture.tally.requests();
+    let requests = fixture.request_log.requests();
     assert!(
         requests
             .values()
--- a/tests/edge/budgets.rs
+++ b/tests/edge/budgets.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use fake_servers::{AttemptState, ResponseDefect};
 use rstest::rstest;
 use serde_json::json;
-use standins::{End, Lie};
 
 use crate::common::peers::*;
 use crate::config_files::NODES;
@@ -51,7 +51,7 @@
 #[tokio::test]
 async fn exhausted_budget_ends_streams_properly() {
     let mut slow = server_spec("a", &["hint"]);
-    (slow.pace, slow.tokens) = (Duration::from_millis(5), 60);
+    (slow.token_interval, slow.answer_tokens) = (Duration::from_millis(5), 60);
     let nodes = NODES.replace(
         "path = \"lakes/north/7b\"",
         "path = \"lakes/north/7b\"\nbudgets = [{ per = \"term\", tokens = 2_500 }]",
@@ -79,15 +79,15 @@
     );
     assert!(usage.used <= 2_500 + 80, "{}", usage.used);
     until("attempts of cut streams are cancelled", || {
-        fixture.tally.running() == 0
+        fixture.request_log.running_attempts() == 0
     })
     .await;
     let dropped = fixture
-        .tally
+        .request_log
         .requests()
         .values()
         .flatten()
-        .filter(|attempt| attempt.end == End::Dropped)
+        .filter(|attempt| attempt.state == AttemptState::ClientDisconnected)
         .count();
     assert_eq!(dropped, counts.cut);
     assert_rejected_at_once(&fixture).await;
@@ -114,21 +114,21 @@
 }
 
 #[rstest]
-#[case::no_usage(Lie::NoUsage)]
-#[case::huge(Lie::Huge)]
-#[case::twice(Lie::Twice)]
-#[case::another_name(Lie::OtherName)]
+#[case::no_usage(ResponseDefect::MissingUsage)]
+#[case::huge(ResponseDefect::ImplausibleUsage)]
+#[case::twice(ResponseDefect::RepeatedUsage)]
+#[case::another_name(ResponseDefect::WrongModelName)]
 #[tokio::test]
-async fn misreported_usage_charges_counted_tokens(#[case] lie: Lie) {
+async fn misreported_usage_charges_counted_tokens(#[case] defect: ResponseDefect) {
     let fixture = EdgeFixture::start(vec![server_spec("a", &["hint"])], NODES).await;
-    fixture.servers[0].lie(lie);
+    fixture.servers[0].set_response_defect(defect);
     let body = chat_body("hint", json!({"max_tokens": 10}));
     let got = fixture.chat("lakes/north/7b", body).await;
     assert_eq!(
         (got.head.status, got.head.get("x-served-model")),
         (200, Some("hint"))
     );
-    let reported_model = if lie == Lie::OtherName {
+    let reported_model = if defect == ResponseDefect::WrongModelName {
         "another"
     } else {
         "hint"
--- a/tests/edge/chat.rs
+++ b/tests/edge/chat.rs
@@ -20,7 +20,7 @@
         BudgetUsage::settled(20 * 2 + 7 * 4 + 30 + 30)
     );
     assert_eq!(
-        fixture.tally.with_authorization(),
+        fixture.request_log.attempts_with_authorization(),
         0,
         "keys never reach a model server"
     );
--- a/tests/edge/fallback.rs
+++ b/tests/edge/fallback.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use fake_servers::Fault;
 use serde_json::json;
-use standins::Fault;
 use tokio::time::{Instant, sleep};
 
 use crate::common::peers::*;
@@ -33,7 +33,7 @@
     // a host that warms up gets one request, then a part of what others get: far from all 40 at
     // once
     let at_starting_host = fixture
-        .tally
+        .request_log
         .requests()
         .values()
         .flatten()
@@ -48,16 +48,16 @@
 
 async fn fixture_with_starting_fallback() -> EdgeFixture {
     let mut starting = server_spec("cold", &["hint"]);
-    starting.first = Duration::from_millis(20);
+    starting.first_token_delay = Duration::from_millis(20);
     let specs = vec![
         server_spec("m1", &["marker"]),
         server_spec("m2", &["marker"]),
         starting,
     ];
     let fixture = EdgeFixture::start(specs, NODES).await;
-    fixture.servers[0].fault(Fault::Dead);
-    fixture.servers[1].fault(Fault::Dead);
-    fixture.servers[2].cold(5, Duration::from_secs(10));
+    fixture.servers[0].set_fault(Fault::Down);
+    fixture.servers[1].set_fault(Fault::Down);
+    fixture.servers[2].start_cold(5, Duration::from_secs(10));
     // the endpoint list says that it has just started
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -77,15 +77,15 @@
 async fn disconnect_cancels_the_fallback() {
     let specs = vec![server_spec("m", &["marker"]), server_spec("h", &["hint"])];
     let fixture = EdgeFixture::start(specs, NODES).await;
-    fixture.servers[0].fault(Fault::Error);
-    fixture.servers[1].fault(Fault::Freeze);
+    fixture.servers[0].set_fault(Fault::InternalError);
+    fixture.servers[1].set_fault(Fault::Hang);
     let mut client = Client::new(&fixture.router.batch).await;
     let body = chat_body("marker", json!({"max_tokens": 5}));
     client.send(&chat_request("lakes/north/7b", &body)).await;
     // one or two attempts fail at once, the next is at the fallback
     until("the fallback has it", || {
         fixture
-            .tally
+            .request_log
             .requests()
             .values()
             .flatten()
@@ -93,13 +93,16 @@
     })
     .await;
     drop(client);
-    until("it is cancelled", || fixture.tally.running() == 0).await;
+    until("it is cancelled", || {
+        fixture.request_log.running_attempts() == 0
+    })
+    .await;
     sleep(Duration::from_millis(100)).await;
     fixture.assert_attempts_bounded();
-    let attempts = fixture.tally.attempts();
+    let attempts = fixture.request_log.attempt_count();
     sleep(Duration::from_millis(500)).await;
     assert_eq!(
-        fixture.tally.attempts(),
+        fixture.request_log.attempt_count(),
         attempts,
         "nothing is sent for it any more"
     );
@@ -119,14 +122,14 @@
         server_spec("h", &["hint"]),
     ];
     let fixture = EdgeFixture::start(specs, NODES).await;
-    fixture.servers[0].fault(Fault::Error);
-    fixture.servers[1].fault(Fault::Error);
+    fixture.servers[0].set_fault(Fault::InternalError);
+    fixture.servers[1].set_fault(Fault::InternalError);
     let mut served = 0;
     for k in 0..12 {
         if k == 8 {
             // frozen servers leave the fallback time too
-            fixture.servers[0].fault(Fault::Freeze);
-            fixture.servers[1].fault(Fault::Freeze);
+            fixture.servers[0].set_fault(Fault::Hang);
+            fixture.servers[1].set_fault(Fault::Hang);
         }
         let start = Instant::now();
         let body = chat_body("marker", json!({"max_tokens": 5}));
--- a/tests/edge/fixture.rs
+++ b/tests/edge/fixture.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use fake_servers::{ModelServer, RequestLog, ServerOptions};
 use serde_json::{Value, json};
-use standins::{ModelServer, Spec, Tally};
 use stilespan::config::Config;
 use stilespan::router::RouterOptions;
 use tokio::time::{Instant, sleep};
@@ -19,7 +19,7 @@
 pub struct EdgeFixture {
     pub router: Router,
     pub servers: Vec<ModelServer>,
-    pub tally: Tally,
+    pub request_log: RequestLog,
     pub folder: Folder,
 }
 
@@ -40,11 +40,11 @@
 impl EdgeFixture {
     /// Starts the model servers and the router, and waits until the servers were polled for their
     /// models.
-    pub async fn start(specs: Vec<Spec>, nodes: &str) -> EdgeFixture {
-        let (folder, tally) = (Folder::new(), Tally::default());
+    pub async fn start(specs: Vec<ServerOptions>, nodes: &str) -> EdgeFixture {
+        let (folder, request_log) = (Folder::new(), RequestLog::default());
         let mut servers = Vec::new();
         for spec in specs {
-            servers.push(ModelServer::start(spec, tally.clone()).await.unwrap());
+            servers.push(ModelServer::start(spec, request_log.clone()).await.unwrap());
         }
         std::fs::write(folder.path("edge.toml"), edge_file(nodes)).unwrap();
         std::fs::write(folder.path("keys.toml"), keys_file(nodes)).unwrap();
@@ -65,7 +65,7 @@
         let fixture = EdgeFixture {
             router: start(options).await,
             servers,
-            tally,
+            request_log,
             folder,
         };
         fixture.wait_for_models().await;
@@ -127,11 +127,11 @@
 
     /// Asserts what must hold of every request, as the servers saw it.
     pub fn assert_attempts_bounded(&self) {
-        for (trace, attempts) in self.tally.requests() {
+        for (trace, attempts) in self.request_log.requests() {
             assert!(attempts.len() <= MAX_ATTEMPTS, "{trace}: {attempts:?}");
         }
         assert_eq!(
-            self.tally.overlaps(),
+            self.request_log.overlapping_attempts(),
             0,
             "two attempts of a request at once"
         );
@@ -139,11 +139,11 @@
 }
 
 /// A model server that has these models.
-pub fn server_spec(name: &str, models: &[&str]) -> Spec {
-    Spec {
+pub fn server_spec(name: &str, models: &[&str]) -> ServerOptions {
+    ServerOptions {
         name: name.into(),
         models: models.iter().map(|model| model.to_string()).collect(),
-        ..Spec::default()
+        ..ServerOptions::default()
     }
 }
 
--- a/tests/edge/keys.rs
+++ b/tests/edge/keys.rs
@@ -32,5 +32,5 @@
         );
         assert!(got.head.get("www-authenticate").is_some());
     }
-    assert_eq!(fixture.tally.attempts(), 0);
+    assert_eq!(fixture.request_log.attempt_count(), 0);
 }
--- a/tests/edge/recovery.rs
+++ b/tests/edge/recovery.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use fake_servers::Fault;
 use serde_json::json;
-use standins::Fault;
 use tokio::time::Instant;
 
 use crate::config_files::NODES;
@@ -14,12 +14,12 @@
 async fn recovered_model_is_preferred_again() {
     let specs = vec![server_spec("m", &["marker"]), server_spec("h", &["hint"])];
     let fixture = EdgeFixture::start(specs, NODES).await;
-    fixture.servers[0].fault(Fault::Dead);
-    fixture.servers[1].fault(Fault::Full);
+    fixture.servers[0].set_fault(Fault::Down);
+    fixture.servers[1].set_fault(Fault::Overloaded);
     let body = chat_body("marker", json!({"max_tokens": 5}));
     let got = fixture.chat("lakes/north/7b", body.clone()).await;
     assert!([502, 503].contains(&got.head.status), "{got:?}");
-    fixture.servers[0].fault(Fault::None);
+    fixture.servers[0].set_fault(Fault::None);
     let start = Instant::now();
     loop {
         let got = fixture.chat("lakes/north/7b", body.clone()).await;
--- a/tests/edge/reload.rs
+++ b/tests/edge/reload.rs
@@ -18,10 +18,14 @@
 #[tokio::test]
 async fn reload_keeps_requests_in_flight() {
     let mut slow = server_spec("a", &["hint", "marker"]);
-    (slow.slots, slow.pace, slow.tokens) = (400, Duration::from_millis(2), 10);
+    (
+        slow.max_concurrent_requests,
+        slow.token_interval,
+        slow.answer_tokens,
+    ) = (400, Duration::from_millis(2), 10);
     let fixture = EdgeFixture::start(vec![slow.clone(), slow], NODES).await;
     for server in &fixture.servers {
-        server.hold(true);
+        server.pause_streams(true);
     }
     let body = chat_body("marker", json!({"max_tokens": 10}));
     let requests = (0..200).map(|_| fixture.chat("lakes/north/7b", body.clone()));
@@ -33,7 +37,7 @@
         }
         remove_marker(&fixture).await;
         for server in &fixture.servers {
-            server.hold(false);
+            server.pause_streams(false);
         }
     };
     let (all, ()) = tokio::join!(futures_util::future::join_all(requests), change);
--- a/tests/edge_load/config_files.rs
+++ b/tests/edge_load/config_files.rs
@@ -1,7 +1,7 @@
 //! The configuration files of the router under load: three models in a fallback chain, and four
 //! tenants with a key and a budget each.
 
-use standins::ModelServer;
+use fake_servers::ModelServer;
 use stilespan::identity;
 
 use crate::common::folder::Folder;
--- a/tests/edge_load/invalid_keys.rs
+++ b/tests/edge_load/invalid_keys.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use standins::{ModelServer, Spec, Tally};
+use fake_servers::{ModelServer, RequestLog, ServerOptions};
 use tokio::time::sleep;
 
 use crate::common::folder::Folder;
@@ -17,12 +17,12 @@
 /// Invalid keys cost neither an attempt nor memory, delay no answer and are not logged.
 #[tokio::test]
 async fn invalid_keys_leave_nothing_behind() {
-    let (folder, tally) = (Folder::new(), Tally::default());
-    let spec = Spec {
+    let (folder, request_log) = (Folder::new(), RequestLog::default());
+    let spec = ServerOptions {
         models: vec!["marker".into(), "hint".into(), "tiny".into()],
-        ..Spec::default()
+        ..ServerOptions::default()
     };
-    let servers = [ModelServer::start(spec, tally.clone()).await.unwrap()];
+    let servers = [ModelServer::start(spec, request_log.clone()).await.unwrap()];
     write_files(&folder, &servers);
     let program = Program::start(&folder);
     sleep(Duration::from_millis(500)).await;
@@ -45,7 +45,7 @@
         growth < MAX_GROWTH,
         "{growth} KiB more after 20,000 invalid keys"
     );
-    assert_eq!(tally.attempts(), 60);
+    assert_eq!(request_log.attempt_count(), 60);
     let log = program.kill();
     assert!(!log.contains("sk-") && !log.contains("valid\""), "{log}");
 }
--- a/tests/edge_load/ledger_agreement.rs
+++ b/tests/edge_load/ledger_agreement.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
+use fake_servers::{Attempt, AttemptState, Fault, ModelServer, RequestLog, ServerOptions};
 use serde_json::json;
-use standins::{Attempt, End, Fault, ModelServer, Spec, Tally};
 use stilespan::config::Config;
 use stilespan::router::RouterOptions;
 use tokio::time::sleep;
@@ -33,17 +33,17 @@
 }
 
 const FAULT_CHANGES: [FaultChange; 12] = [
-    change(150, 0, Fault::Dead),
-    change(350, 2, Fault::Freeze),
+    change(150, 0, Fault::Down),
+    change(350, 2, Fault::Hang),
     change(500, 0, Fault::None),
-    change(600, 1, Fault::Error),
+    change(600, 1, Fault::InternalError),
     change(750, 2, Fault::None),
-    change(900, 3, Fault::Break(2)),
+    change(900, 3, Fault::BreakStreamAfter(2)),
     change(1_000, 1, Fault::None),
-    change(1_100, 4, Fault::Full),
+    change(1_100, 4, Fault::Overloaded),
     change(1_300, 3, Fault::None),
     change(1_400, 4, Fault::None),
-    change(1_500, 0, Fault::Freeze),
+    change(1_500, 0, Fault::Hang),
     change(1_700, 0, Fault::None),
 ];
 
@@ -57,18 +57,21 @@
 
 #[tokio::test]
 async fn ledger_agrees_to_the_token() {
-    let (folder, tally) = (Folder::new(), Tally::default());
-    let servers = start_servers(&tally).await;
+    let (folder, request_log) = (Folder::new(), RequestLog::default());
+    let servers = start_servers(&request_log).await;
     write_files(&folder, &servers);
     let router = start_router(&folder).await;
     let records = send_requests(&router, &servers).await;
     assert_eq!(records.len(), REQUESTS, "each request has its one answer");
-    until("the servers are at rest", || tally.running() == 0).await;
+    until("the servers are at rest", || {
+        request_log.running_attempts() == 0
+    })
+    .await;
 
     // servers: at most three attempts, never two at once; one complete answer for each client that
     // has one
-    let attempts = tally.requests();
-    assert_eq!(tally.overlaps(), 0);
+    let attempts = request_log.requests();
+    assert_eq!(request_log.overlapping_attempts(), 0);
     assert!(attempts.values().all(|a| a.len() <= MAX_ATTEMPTS));
     let mut totals = Totals::default();
     for record in &records {
@@ -85,7 +88,7 @@
     assert_ledger(&router, &totals.charged).await;
 }
 
-async fn start_servers(tally: &Tally) -> Vec<ModelServer> {
+async fn start_servers(request_log: &RequestLog) -> Vec<ModelServer> {
     let mut servers = Vec::new();
     for (name, models) in [
         ("a", &["marker"][..]),
@@ -94,15 +97,15 @@
         ("d", &["hint", "tiny"]),
         ("e", &["tiny"]),
     ] {
-        let spec = Spec {
+        let spec = ServerOptions {
             name: name.into(),
             models: models.iter().map(|model| model.to_string()).collect(),
-            slots: 16,
-            first: Duration::from_millis(3),
-            pace: Duration::from_micros(300),
-            ..Spec::default()
+            max_concurrent_requests: 16,
+            first_token_delay: Duration::from_millis(3),
+            token_interval: Duration::from_micros(300),
+            ..ServerOptions::default()
         };
-        servers.push(ModelServer::start(spec, tally.clone()).await.unwrap());
+        servers.push(ModelServer::start(spec, request_log.clone()).await.unwrap());
     }
     servers
 }
@@ -147,9 +150,9 @@
         let server = &servers[change.server];
         let recovers = change.fault == Fault::None;
         if recovers && recoveries.fetch_add(1, Ordering::SeqCst).is_multiple_of(2) {
-            server.cold(10, Duration::from_millis(300));
+            server.start_cold(10, Duration::from_millis(300));
         } else {
-            server.fault(change.fault);
+            server.set_fault(change.fault);
         }
     }
 }
@@ -185,17 +188,17 @@
         let trace = &record.trace;
         let model = record.model.as_deref().unwrap();
         assert_eq!(
-            (last.model.as_str(), last.prompt),
+            (last.model.as_str(), last.prompt_tokens),
             (model, record.prompt_tokens),
             "{trace}"
         );
         if record.complete && !record.cut {
-            assert_eq!(last.end, End::Whole, "{trace}");
-            assert_eq!(last.written, record.answer_tokens, "{trace}");
+            assert_eq!(last.state, AttemptState::Completed, "{trace}");
+            assert_eq!(last.written_tokens, record.answer_tokens, "{trace}");
             self.served += 1;
         } else {
             // charged is what came
-            assert!(last.written >= record.answer_tokens, "{trace}");
+            assert!(last.written_tokens >= record.answer_tokens, "{trace}");
             self.incomplete += 1;
         }
         let price = MODELS.iter().find(|m| m.name == model).unwrap();
