--- a/benches/edge/main.rs
+++ b/benches/edge/main.rs
@@ -29,13 +29,13 @@
 }
 
 async fn start_server(max_concurrent_requests: usize, first_token_delay: Duration) -> ModelServer {
-    let spec = ServerOptions {
+    let options = ServerOptions {
         models: vec!["hint".into()],
         max_concurrent_requests,
         first_token_delay,
         ..ServerOptions::default()
     };
-    ModelServer::start(spec, RequestLog::default())
+    ModelServer::start(options, RequestLog::default())
         .await
         .unwrap()
 }
--- a/tests/edge/adapters.rs
+++ b/tests/edge/adapters.rs
@@ -9,13 +9,13 @@
 /// An adapter is loaded on its first use; from then on its host reports it.
 #[tokio::test]
 async fn adapter_runs_on_its_base() {
-    let mut host = server_spec("a", &["hint"]);
+    let mut host = server_options("a", &["hint"]);
     host.adapters = vec![Adapter {
         name: "maths".into(),
         base_model: "hint".into(),
     }];
-    let specs = vec![host, server_spec("b", &["marker"])];
-    let fixture = EdgeFixture::start(specs, NODES).await;
+    let servers = vec![host, server_options("b", &["marker"])];
+    let fixture = EdgeFixture::start(servers, NODES).await;
     let body = chat_body("maths", json!({"max_tokens": 5}));
     let got = fixture.chat("lakes/north/7b", body).await;
     assert_eq!(
--- a/tests/edge/budgets.rs
+++ b/tests/edge/budgets.rs
@@ -50,7 +50,7 @@
 /// A budget runs out during 51 concurrent streams of a node.
 #[tokio::test]
 async fn exhausted_budget_ends_streams_properly() {
-    let mut slow = server_spec("a", &["hint"]);
+    let mut slow = server_options("a", &["hint"]);
     (slow.token_interval, slow.answer_tokens) = (Duration::from_millis(5), 60);
     let nodes = NODES.replace(
         "path = \"lakes/north/7b\"",
@@ -120,7 +120,7 @@
 #[case::another_name(ResponseDefect::WrongModelName)]
 #[tokio::test]
 async fn misreported_usage_charges_counted_tokens(#[case] defect: ResponseDefect) {
-    let fixture = EdgeFixture::start(vec![server_spec("a", &["hint"])], NODES).await;
+    let fixture = EdgeFixture::start(vec![server_options("a", &["hint"])], NODES).await;
     fixture.servers[0].set_response_defect(defect);
     let body = chat_body("hint", json!({"max_tokens": 10}));
     let got = fixture.chat("lakes/north/7b", body).await;
--- a/tests/edge/chat.rs
+++ b/tests/edge/chat.rs
@@ -8,7 +8,7 @@
 
 #[tokio::test]
 async fn answers_have_the_public_form() {
-    let fixture = EdgeFixture::start(vec![server_spec("a", &["hint", "marker"])], NODES).await;
+    let fixture = EdgeFixture::start(vec![server_options("a", &["hint", "marker"])], NODES).await;
     let mut client = Client::new(&fixture.router.batch).await;
     assert_models_visible(&fixture, &mut client).await;
     assert_complete_answer(&mut client).await;
--- a/tests/edge/fallback.rs
+++ b/tests/edge/fallback.rs
@@ -47,14 +47,14 @@
 }
 
 async fn fixture_with_starting_fallback() -> EdgeFixture {
-    let mut starting = server_spec("cold", &["hint"]);
+    let mut starting = server_options("cold", &["hint"]);
     starting.first_token_delay = Duration::from_millis(20);
-    let specs = vec![
-        server_spec("m1", &["marker"]),
-        server_spec("m2", &["marker"]),
+    let servers = vec![
+        server_options("m1", &["marker"]),
+        server_options("m2", &["marker"]),
         starting,
     ];
-    let fixture = EdgeFixture::start(specs, NODES).await;
+    let fixture = EdgeFixture::start(servers, NODES).await;
     fixture.servers[0].set_fault(Fault::Down);
     fixture.servers[1].set_fault(Fault::Down);
     fixture.servers[2].start_cold(5, Duration::from_secs(10));
@@ -75,8 +75,11 @@
 /// The preferred model's attempts fail, and the client disconnects during the fallback's.
 #[tokio::test]
 async fn disconnect_cancels_the_fallback() {
-    let specs = vec![server_spec("m", &["marker"]), server_spec("h", &["hint"])];
-    let fixture = EdgeFixture::start(specs, NODES).await;
+    let servers = vec![
+        server_options("m", &["marker"]),
+        server_options("h", &["hint"]),
+    ];
+    let fixture = EdgeFixture::start(servers, NODES).await;
     fixture.servers[0].set_fault(Fault::InternalError);
     fixture.servers[1].set_fault(Fault::Hang);
     let mut client = Client::new(&fixture.router.batch).await;
@@ -116,12 +119,12 @@
 /// Attempts count over the models of a chain, and one is left for the fallback.
 #[tokio::test]
 async fn fallback_keeps_an_attempt() {
-    let specs = vec![
-        server_spec("m1", &["marker"]),
-        server_spec("m2", &["marker"]),
-        server_spec("h", &["hint"]),
+    let servers = vec![
+        server_options("m1", &["marker"]),
+        server_options("m2", &["marker"]),
+        server_options("h", &["hint"]),
     ];
-    let fixture = EdgeFixture::start(specs, NODES).await;
+    let fixture = EdgeFixture::start(servers, NODES).await;
     fixture.servers[0].set_fault(Fault::InternalError);
     fixture.servers[1].set_fault(Fault::InternalError);
     let mut served = 0;
--- a/tests/edge/fixture.rs
+++ b/tests/edge/fixture.rs
@@ -40,11 +40,15 @@
 impl EdgeFixture {
     /// Starts the model servers and the router, and waits until the servers were polled for their
     /// models.
-    pub async fn start(specs: Vec<ServerOptions>, nodes: &str) -> EdgeFixture {
+    pub async fn start(options: Vec<ServerOptions>, nodes: &str) -> EdgeFixture {
         let (folder, request_log) = (Folder::new(), RequestLog::default());
         let mut servers = Vec::new();
-        for spec in specs {
-            servers.push(ModelServer::start(spec, request_log.clone()).await.unwrap());
+        for server_options in options {
+            servers.push(
+                ModelServer::start(server_options, request_log.clone())
+                    .await
+                    .unwrap(),
+            );
         }
         std::fs::write(folder.path("edge.toml"), edge_file(nodes)).unwrap();
         std::fs::write(folder.path("keys.toml"), keys_file(nodes)).unwrap();
@@ -54,7 +58,7 @@
             .map(|(k, server)| format!("s{k},{}\n", server.address))
             .collect();
         std::fs::write(folder.path("hosts.csv"), format!("name,address\n{rows}")).unwrap();
-        let options = RouterOptions {
+        let router_options = RouterOptions {
             config: Config::standalone(),
             batch: Some(batch_options(&folder.path("spool"))),
             edge: Some(folder.path("edge.toml")),
@@ -63,7 +67,7 @@
             inherited: None,
         };
         let fixture = EdgeFixture {
-            router: start(options).await,
+            router: start(router_options).await,
             servers,
             request_log,
             folder,
@@ -139,7 +143,7 @@
 }
 
 /// A model server that has these models.
-pub fn server_spec(name: &str, models: &[&str]) -> ServerOptions {
+pub fn server_options(name: &str, models: &[&str]) -> ServerOptions {
     ServerOptions {
         name: name.into(),
         models: models.iter().map(|model| model.to_string()).collect(),
--- a/tests/edge/keys.rs
+++ b/tests/edge/keys.rs
@@ -13,7 +13,7 @@
 #[case::another_scheme("Authorization: Basic abc\r\n", "missing_api_key")]
 #[tokio::test]
 async fn every_path_requires_a_key(#[case] header: &str, #[case] code: &str) {
-    let fixture = EdgeFixture::start(vec![server_spec("a", &["hint"])], NODES).await;
+    let fixture = EdgeFixture::start(vec![server_options("a", &["hint"])], NODES).await;
     for path in [
         "/v1/models",
         "/v1/budgets",
--- a/tests/edge/recovery.rs
+++ b/tests/edge/recovery.rs
@@ -12,8 +12,11 @@
 /// The fallback rejects requests while the preferred model comes back.
 #[tokio::test]
 async fn recovered_model_is_preferred_again() {
-    let specs = vec![server_spec("m", &["marker"]), server_spec("h", &["hint"])];
-    let fixture = EdgeFixture::start(specs, NODES).await;
+    let servers = vec![
+        server_options("m", &["marker"]),
+        server_options("h", &["hint"]),
+    ];
+    let fixture = EdgeFixture::start(servers, NODES).await;
     fixture.servers[0].set_fault(Fault::Down);
     fixture.servers[1].set_fault(Fault::Overloaded);
     let body = chat_body("marker", json!({"max_tokens": 5}));
--- a/tests/edge/reload.rs
+++ b/tests/edge/reload.rs
@@ -17,7 +17,7 @@
 /// A reload removes a model of which 200 requests are in flight.
 #[tokio::test]
 async fn reload_keeps_requests_in_flight() {
-    let mut slow = server_spec("a", &["hint", "marker"]);
+    let mut slow = server_options("a", &["hint", "marker"]);
     (
         slow.max_concurrent_requests,
         slow.token_interval,
--- a/tests/edge/revoked_key.rs
+++ b/tests/edge/revoked_key.rs
@@ -14,7 +14,7 @@
 
 #[tokio::test]
 async fn revoked_key_fails_remaining_lines() {
-    let mut slow = server_spec("a", &["hint"]);
+    let mut slow = server_options("a", &["hint"]);
     slow.first_token_delay = Duration::from_millis(30);
     let fixture = EdgeFixture::start(vec![slow], NODES).await;
     let mut client = Client::new(&fixture.router.batch).await;
--- a/tests/edge_load/invalid_keys.rs
+++ b/tests/edge_load/invalid_keys.rs
@@ -18,11 +18,13 @@
 #[tokio::test]
 async fn invalid_keys_leave_nothing_behind() {
     let (folder, request_log) = (Folder::new(), RequestLog::default());
-    let spec = ServerOptions {
+    let options = ServerOptions {
         models: vec!["marker".into(), "hint".into(), "tiny".into()],
         ..ServerOptions::default()
     };
-    let servers = [ModelServer::start(spec, request_log.clone()).await.unwrap()];
+    let servers = [ModelServer::start(options, request_log.clone())
+        .await
+        .unwrap()];
     write_files(&folder, &servers);
     let program = Program::start(&folder);
     sleep(Duration::from_millis(500)).await;
--- a/tests/edge_load/ledger_agreement.rs
+++ b/tests/edge_load/ledger_agreement.rs
@@ -97,7 +97,7 @@
         ("d", &["hint", "tiny"]),
         ("e", &["tiny"]),
     ] {
-        let spec = ServerOptions {
+        let options = ServerOptions {
             name: name.into(),
             models: models.iter().map(|model| model.to_string()).collect(),
             max_concurrent_requests: 16,
@@ -105,7 +105,11 @@
             token_interval: Duration::from_micros(300),
             ..ServerOptions::default()
         };
-        servers.push(ModelServer::start(spec, request_log.clone()).await.unwrap());
+        servers.push(
+            ModelServer::start(options, request_log.clone())
+                .await
+                .unwrap(),
+        );
     }
     servers
 }
