--- a/src/batch/http_api/response.rs
+++ b/src/batch/http_api/response.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Reply;
 use crate::batch::store::StoredFile;
-use crate::edge::service::Serving;
+use crate::edge::AnswerStream;
 
 /// What a request is answered with.
 pub(super) enum Response {
@@ -22,7 +22,7 @@
 
 /// The answer to a chat request, which has begun.
 pub(super) struct ChatAnswer {
-    pub(super) answer: Serving,
+    pub(super) answer: AnswerStream,
     /// The client asked for a stream.
     pub(super) is_streamed: bool,
 }
--- a/src/batch/jobs/edge_submission.rs
+++ b/src/batch/jobs/edge_submission.rs
@@ -11,7 +11,7 @@
 use crate::batch::edge_access::EdgeAccess;
 use crate::batch::line::{LineError, LineRequest};
 use crate::batch::wall_clock::unix_seconds;
-use crate::edge::service::{Declined, Part, Serving, Work};
+use crate::edge::{AnswerStream, ChatRequest, Rejection, RejectionCause, StreamItem};
 
 /// How a submission ended that did not fail.
 enum Submission {
@@ -71,19 +71,19 @@
         };
         let options = &self.context.options;
         let submitted_at = Instant::now();
-        let work = Work {
+        let request = ChatRequest {
             caller: self.owner.clone(),
             chat,
             class: Some(options.class_name.clone()),
-            patience: Some(options.request_timeout),
-            received: submitted_at,
+            timeout: Some(options.request_timeout),
+            received_at: submitted_at,
             trace,
-            live: false,
+            interactive: false,
             client: None,
         };
-        let mut answer = match edge.edge.start(work).await {
+        let mut answer = match edge.edge.start(request).await {
             Ok(answer) => answer,
-            Err(declined) => return after_rejection(declined),
+            Err(rejection) => return after_rejection(rejection),
         };
         let start_latency = submitted_at.elapsed();
         let builder = collect(&mut answer).await.ok_or(LineError::AnswerBroken)?;
@@ -98,18 +98,23 @@
 }
 
 /// Whether a line that the edge rejected may be submitted again, and when.
-fn after_rejection(declined: Declined) -> Result<Submission, LineError> {
-    let Declined {
+fn after_rejection(rejection: Rejection) -> Result<Submission, LineError> {
+    let Rejection {
         error,
         attempts,
-        budget,
-        retry_in,
-        ..
-    } = declined;
-    match budget {
-        Some(Some(refilled_in)) => return Ok(Submission::OutOfBudget { refilled_in }),
-        Some(None) => return Err(LineError::BudgetExhausted(error.message)),
-        None => {}
+        cause,
+        retry_after,
+    } = rejection;
+    match cause {
+        RejectionCause::BudgetExhausted { refill_in } => {
+            return Ok(Submission::OutOfBudget {
+                refilled_in: refill_in,
+            });
+        }
+        RejectionCause::LargerThanBudget => {
+            return Err(LineError::BudgetExhausted(error.message));
+        }
+        RejectionCause::Other => {}
     }
     match error.status {
         401 => return Err(LineError::KeyRevoked),
@@ -124,19 +129,17 @@
     if attempts > 0 {
         return Err(LineError::AttemptsFailed);
     }
-    Ok(Submission::Rejected {
-        retry_after: retry_in,
-    })
+    Ok(Submission::Rejected { retry_after })
 }
 
 /// Collects an answer; none if it breaks off.
-async fn collect(answer: &mut Serving) -> Option<CompletionBuilder> {
+async fn collect(answer: &mut AnswerStream) -> Option<CompletionBuilder> {
     let mut builder = CompletionBuilder::default();
     loop {
         match answer.next().await {
-            Part::Data(bytes) => builder.add(&bytes),
-            Part::Done => return Some(builder),
-            Part::Broken => return None,
+            StreamItem::Data(bytes) => builder.add(&bytes),
+            StreamItem::Complete => return Some(builder),
+            StreamItem::Broken => return None,
         }
     }
 }
--- a/src/batch/line/request.rs
+++ b/src/batch/line/request.rs
@@ -9,7 +9,7 @@
 use super::error::{LineError, MAX_CUSTOM_ID_BYTES};
 use crate::api::ApiError;
 use crate::core::{Payload, Request, RequestAttributes};
-use crate::edge::chat::Chat;
+use crate::edge::ChatBody;
 use crate::interface::stable_hash;
 use crate::net::upstream::payload;
 
@@ -41,7 +41,7 @@
     /// The request that is sent to a model server without the edge.
     pub payload: Payload,
     /// The request for the edge, or why the edge can't take it.
-    pub chat: Result<Chat, ApiError>,
+    pub chat: Result<ChatBody, ApiError>,
 }
 
 #[derive(Deserialize)]
@@ -98,7 +98,7 @@
         let model = body.get("model").filter(|model| model.is_string());
         let model = model.cloned().unwrap_or_default();
         let max_output_tokens = max_output_tokens(&body);
-        let chat = Chat::of(body.clone());
+        let chat = ChatBody::from_object(body.clone());
         // model servers answer in streams, of which the result file gets the complete answer
         body.insert("stream".into(), true.into());
         let body = Bytes::from(Value::Object(body).to_string());
