--- a/src/net/handover/predecessor_link.rs
+++ b/src/net/handover/predecessor_link.rs
@@ -105,34 +105,49 @@
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
             .map_err(ConnectError::from_connect)?;
         let mut connection = Connection::new(stream);
-        let (maintenance, endpoints) =
-            match timeout_at(deadline, exchange_hellos(&mut connection)).await {
-                Ok(Ok(Some(PeerMessage::HelloAcknowledged {
-                    maintenance,
-                    endpoints,
-                }))) => {
-                    info!("connected to the predecessor process");
-                    (Some(maintenance), endpoints)
-                }
-                // it has exited, or accepts no more successors: the next attempt shows which
-                Ok(Ok(None)) => {
-                    let closed = io::Error::from(io::ErrorKind::UnexpectedEof);
-                    return Err(MessageError::from(closed).into());
-                }
-                Ok(Err(error)) => return Err(error.into()),
-                Ok(Ok(Some(_))) | Err(_) => {
-                    warn!("the predecessor process doesn't answer; starting from the file");
-                    (None, None)
-                }
-            };
+        let greeting = greet(&mut connection, deadline).await?;
         Ok(PredecessorLink {
             connection,
+            maintenance: greeting.maintenance,
+            endpoints: greeting.endpoints,
+        })
+    }
+}
+
+/// The predecessor's answer to the hello; empty where it doesn't answer in time.
+#[derive(Default)]
+struct Greeting {
+    maintenance: Option<MaintenanceState>,
+    endpoints: Option<EndpointList>,
+}
+
+async fn greet(connection: &mut Connection, deadline: Instant) -> Result<Greeting, MessageError> {
+    let answer = match timeout_at(deadline, exchange_hellos(connection)).await {
+        Ok(answer) => answer?,
+        Err(_) => return Ok(unanswered()),
+    };
+    match answer {
+        Some(PeerMessage::HelloAcknowledged {
             maintenance,
             endpoints,
-        })
+        }) => {
+            info!("connected to the predecessor process");
+            Ok(Greeting {
+                maintenance: Some(maintenance),
+                endpoints,
+            })
+        }
+        Some(_) => Ok(unanswered()),
+        // it has exited, or accepts no more successors: the next attempt shows which
+        None => Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
     }
 }
 
+fn unanswered() -> Greeting {
+    warn!("the predecessor process doesn't answer; starting from the file");
+    Greeting::default()
+}
+
 /// Sends the hello; the predecessor's answer.
 async fn exchange_hellos(connection: &mut Connection) -> Result<Option<PeerMessage>, MessageError> {
     let hello = PeerMessage::Hello {
