--- a/src/batch/store.rs
+++ b/src/batch/store.rs
@@ -13,8 +13,8 @@
 use tokio::fs::File;
 use tokio::task::spawn_blocking;
 
-use crate::storage::file_system::retry_on_interrupt;
 use crate::storage::{Disk, FileSystem, OpenFile};
+use crate::system_call::retry_on_interrupt;
 
 use appender::WriteLease;
 use table::FileTable;
--- a/src/batch/store/appender.rs
+++ b/src/batch/store/appender.rs
@@ -7,7 +7,8 @@
 use super::file_info::FileInfo;
 use super::table::FileTable;
 use crate::storage::OpenFile;
-use crate::storage::file_system::{retry_on_interrupt, write_all_at};
+use crate::storage::file_system::write_all_at;
+use crate::system_call::retry_on_interrupt;
 
 /// The one writer of a file.
 pub struct Appender {
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -13,16 +13,17 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use tokio::sync::{Mutex, mpsc, watch};
+use tokio::sync::{Mutex, watch};
 use tracing::{info, warn};
 
 use crate::core::{Clock, CoreHandle, MaintenanceAction};
 use crate::interface::ReplicaId;
+use crate::ops::exclusions::Exclusion;
 use crate::ops::maintenance_state::MaintenanceState;
 use crate::storage::{AtomicFile, BackgroundWriter, Disk, Version};
 
 pub use command::{AdminCommand, AdminError};
-pub use peers::{ForwardedCommand, PeerId};
+pub use peers::{ForwardedCommand, PeerId, RegisteredPeer};
 
 use change::{AppliedChange, ServerCheck};
 use peers::Peers;
@@ -65,7 +66,7 @@
     ) -> Arc<Lifecycle> {
         if maintenance.is_drained {
             draining.send_replace(Some(Instant::now()));
-            core.figures().set_drained(true);
+            core.metrics().set_drained(true);
         }
         let start_writer = |path| BackgroundWriter::start(AtomicFile::new(path), Arc::new(Disk));
         Arc::new(Lifecycle {
@@ -85,7 +86,7 @@
         match command {
             AdminCommand::Ready if self.is_ready() => Ok("ready\n".into()),
             AdminCommand::Ready => Err(AdminError::NotReady),
-            AdminCommand::Metrics => Ok(self.core.figures().encode()),
+            AdminCommand::Metrics => Ok(self.core.metrics().encode()),
             command => self.execute_change(command).await,
         }
     }
@@ -128,22 +129,15 @@
     ) -> Result<AppliedChange, AdminError> {
         let mut maintenance = self.maintenance.lock().await;
         let message = match command {
-            AdminCommand::Disable(name) | AdminCommand::Enable(name) => {
-                let excludes = matches!(command, AdminCommand::Disable(_));
-                let action = match excludes {
-                    true => MaintenanceAction::Exclude,
-                    false => MaintenanceAction::Restore,
-                };
-                let is_known = check == ServerCheck::DoneByPeer;
-                let applied = self
-                    .core
-                    .maintain(ReplicaId::from_name(name), name, action, is_known)
-                    .await;
-                maintenance.exclusions = applied
-                    .map_err(|_| AdminError::ShuttingDown)?
-                    .ok_or(AdminError::UnknownServer)?;
-                let change = if excludes { "left out" } else { "put back" };
-                format!("{name} is {change}\n")
+            AdminCommand::Disable(name) => {
+                let action = MaintenanceAction::Exclude;
+                maintenance.exclusions = self.maintain_server(name, action, check).await?;
+                format!("{name} is left out\n")
+            }
+            AdminCommand::Enable(name) => {
+                let action = MaintenanceAction::Restore;
+                maintenance.exclusions = self.maintain_server(name, action, check).await?;
+                format!("{name} is put back\n")
             }
             _ => {
                 maintenance.is_drained = *command == AdminCommand::Drain;
@@ -157,6 +151,21 @@
         Ok(AppliedChange { message, version })
     }
 
+    /// Has the core exclude or restore a model server; the exclusions that are in force then.
+    async fn maintain_server(
+        &self,
+        name: &str,
+        action: MaintenanceAction,
+        check: ServerCheck,
+    ) -> Result<Vec<Exclusion>, AdminError> {
+        let is_validated = check == ServerCheck::DoneByPeer;
+        self.core
+            .maintain(ReplicaId::from_name(name), name, action, is_validated)
+            .await
+            .map_err(|_| AdminError::ShuttingDown)?
+            .ok_or(AdminError::UnknownServer)
+    }
+
     /// Starts or ends the draining; the text that the operator reads.
     fn set_draining(&self, is_draining: bool) -> &'static str {
         let changed = self.draining.send_if_modified(|since| {
@@ -166,7 +175,7 @@
             }
             changes
         });
-        self.core.figures().set_drained(is_draining);
+        self.core.metrics().set_drained(is_draining);
         let message = if is_draining {
             "drained\n"
         } else {
@@ -190,9 +199,9 @@
             .map_err(AdminError::NotPersisted)
     }
 
-    /// Registers another process of the router: the commands for it arrive at the receiver until
+    /// Registers another process of the router, to which commands are forwarded until
     /// [`Lifecycle::unregister_peer`].
-    pub fn register_peer(&self) -> (PeerId, mpsc::Receiver<ForwardedCommand>) {
+    pub fn register_peer(&self) -> RegisteredPeer {
         self.peers.add()
     }
 
@@ -231,7 +240,7 @@
 
     /// Records in the metrics whether a successor has taken over.
     pub fn set_succeeded(&self, has_successor: bool) {
-        self.core.figures().set_succeeded(has_successor);
+        self.core.metrics().set_succeeded(has_successor);
     }
 }
 
--- a/src/net/downstream/forwarding.rs
+++ b/src/net/downstream/forwarding.rs
@@ -7,11 +7,11 @@
 
 use super::reply::{RelayEnd, Reply};
 use super::request_head::RequestHead;
-use super::{NextStep, RequestError, Session};
+use super::{NextStep, Persistence, RequestError, Session};
 use crate::core::{Answer, Chunk, PendingRequest, Request};
 use crate::net::http::{Body, Head, HttpError, MAX_BODY_BYTES, is_safe_header_value};
 use crate::net::listener::{ReceivedBody, RequestOutcome};
-use crate::net::upstream::payload;
+use crate::net::upstream::UpstreamRequest;
 use crate::request_ids::RequestIdGuard;
 
 impl Session {
@@ -45,26 +45,34 @@
             memory: _memory,
             ..
         } = received;
+        let upstream_request = UpstreamRequest {
+            method: &head.method,
+            target: &head.target,
+            trace_id: Some(id),
+            idempotency_key,
+            body: bytes,
+        };
         let request = Request {
             attributes,
-            payload: payload(&head.method, &head.target, Some(id), idempotency_key, bytes),
+            payload: upstream_request.into_payload(),
             client: Some(self.connection.presence()),
         };
-        self.submit(request, id_guard, head.closes()).await
+        self.submit(request, id_guard, Persistence::requested(head))
+            .await
     }
 
-    /// Receives the body of a request whose client waits for `patience`. The body must be a JSON
+    /// Receives the body of a request whose client waits for `timeout`. The body must be a JSON
     /// object: a wrong length may cut it short, and a model server would take the rest for another
     /// request.
     async fn receive_body(
         &mut self,
         body: &mut Body,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<ReceivedBody, RequestError> {
         let memory = self.context.body_memory.clone();
         let received = self
             .connection
-            .receive_body(body, MAX_BODY_BYTES, &memory, Some(patience))
+            .receive_body(body, MAX_BODY_BYTES, &memory, Some(timeout))
             .await;
         let reply = match received {
             Ok(received) if is_json_object(&received.bytes) => return Ok(received),
@@ -82,14 +90,14 @@
         &mut self,
         request: Request,
         id_guard: RequestIdGuard,
-        close: bool,
+        persistence: Persistence,
     ) -> Result<NextStep, RequestError> {
         if self.connection.has_disconnected() {
             return Ok(self.client_disconnected());
         }
         let Ok(mut pending) = self.context.core.submit(request).await else {
             let reply = Reply::unavailable("the router is ending");
-            return self.reply(&reply, true).await;
+            return self.reply(&reply, Persistence::Close).await;
         };
         let answer = tokio::select! {
             biased;
@@ -98,7 +106,7 @@
             () = self.connection.wait_for_disconnect() => return Ok(self.client_disconnected()),
         };
         match answer {
-            Answer::Started(chunks) => self.answer_stream(chunks, pending, close).await,
+            Answer::Started(chunks) => self.answer_stream(chunks, pending, persistence).await,
             Answer::Rejected {
                 retry_after,
                 forwarded,
@@ -109,10 +117,10 @@
                     id_guard.release();
                 }
                 let reply = Reply {
-                    retry_in: retry_after,
+                    retry_after,
                     ..Reply::unavailable("refused; trying again is harmless")
                 };
-                self.reply(&reply, close).await
+                self.reply(&reply, persistence).await
             }
             Answer::Failed { forwarded, .. } => {
                 pending.complete();
@@ -120,7 +128,7 @@
                     id_guard.release();
                 }
                 let reply = Reply::new(502, "Bad Gateway", "failed");
-                self.reply(&reply, close).await
+                self.reply(&reply, persistence).await
             }
         }
     }
@@ -130,16 +138,12 @@
         &mut self,
         chunks: mpsc::Receiver<Chunk>,
         pending: PendingRequest,
-        close: bool,
+        persistence: Persistence,
     ) -> Result<NextStep, RequestError> {
-        match self.relay(chunks, close).await? {
-            RelayEnd::Complete { keep_alive } => {
+        match self.relay(chunks, persistence).await? {
+            RelayEnd::Complete(persistence) => {
                 pending.complete();
-                Ok(if keep_alive {
-                    NextStep::KeepAlive
-                } else {
-                    NextStep::Close
-                })
+                Ok(persistence.into())
             }
             RelayEnd::Broken => {
                 pending.fail();
--- a/src/net/handover/predecessor_link.rs
+++ b/src/net/handover/predecessor_link.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use tracing::{debug, info, warn};
 
-use super::message::Message;
+use super::message::PeerMessage;
 use super::message_stream::{Connection, MessageError};
 use super::rendezvous::Rendezvous;
 use super::{PEER_TIMEOUT, PROTOCOL_VERSION};
@@ -20,14 +20,14 @@
 /// The first wait before another attempt to connect.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(2);
 /// The longest such wait, short beside the time for all attempts.
-const LONGEST_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A connection to the predecessor, and what it answered.
 pub struct PredecessorLink {
     pub(super) connection: Connection,
-    /// Its maintenance state; `None` where it doesn't answer in time.
+    /// The predecessor's maintenance state; `None` where it doesn't answer in time.
     pub maintenance: Option<MaintenanceState>,
-    /// Its endpoint list.
+    /// The predecessor's endpoint list.
     pub endpoints: Option<EndpointList>,
 }
 
@@ -78,7 +78,7 @@
 
     async fn connect_within(&self, limit: Duration) -> Option<PredecessorLink> {
         let deadline = Instant::now() + limit;
-        let mut backoff = Backoff::new(FIRST_RETRY_DELAY, LONGEST_RETRY_DELAY);
+        let mut backoff = Backoff::new(FIRST_RETRY_DELAY, MAX_RETRY_DELAY);
         loop {
             let error = match self.connect_once(deadline).await {
                 Ok(link) => return Some(link),
@@ -105,37 +105,52 @@
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
             .map_err(ConnectError::from_connect)?;
         let mut connection = Connection::new(stream);
-        let (maintenance, endpoints) =
-            match timeout_at(deadline, exchange_hellos(&mut connection)).await {
-                Ok(Ok(Some(Message::HelloAcknowledged {
-                    maintenance,
-                    endpoints,
-                }))) => {
-                    info!("connected to the predecessor process");
-                    (Some(maintenance), endpoints)
-                }
-                // it has exited, or accepts no more successors: the next attempt shows which
-                Ok(Ok(None)) => {
-                    let closed = io::Error::from(io::ErrorKind::UnexpectedEof);
-                    return Err(MessageError::from(closed).into());
-                }
-                Ok(Err(error)) => return Err(error.into()),
-                Ok(Ok(Some(_))) | Err(_) => {
-                    warn!("the predecessor process doesn't answer; starting from the file");
-                    (None, None)
-                }
-            };
+        let greeting = greet(&mut connection, deadline).await?;
         Ok(PredecessorLink {
             connection,
+            maintenance: greeting.maintenance,
+            endpoints: greeting.endpoints,
+        })
+    }
+}
+
+/// The predecessor's answer to the hello; empty where it doesn't answer in time.
+#[derive(Default)]
+struct Greeting {
+    maintenance: Option<MaintenanceState>,
+    endpoints: Option<EndpointList>,
+}
+
+async fn greet(connection: &mut Connection, deadline: Instant) -> Result<Greeting, MessageError> {
+    let answer = match timeout_at(deadline, exchange_hellos(connection)).await {
+        Ok(answer) => answer?,
+        Err(_) => return Ok(unanswered()),
+    };
+    match answer {
+        Some(PeerMessage::HelloAcknowledged {
             maintenance,
             endpoints,
-        })
+        }) => {
+            info!("connected to the predecessor process");
+            Ok(Greeting {
+                maintenance: Some(maintenance),
+                endpoints,
+            })
+        }
+        Some(_) => Ok(unanswered()),
+        // it has exited, or accepts no more successors: the next attempt shows which
+        None => Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
     }
 }
 
+fn unanswered() -> Greeting {
+    warn!("the predecessor process doesn't answer; starting from the file");
+    Greeting::default()
+}
+
 /// Sends the hello; the predecessor's answer.
-async fn exchange_hellos(connection: &mut Connection) -> Result<Option<Message>, MessageError> {
-    let hello = Message::Hello {
+async fn exchange_hellos(connection: &mut Connection) -> Result<Option<PeerMessage>, MessageError> {
+    let hello = PeerMessage::Hello {
         version: PROTOCOL_VERSION,
     };
     connection.writer.write(&hello).await?;
--- a/src/net/listener/body.rs
+++ b/src/net/listener/body.rs
@@ -16,9 +16,9 @@
 
 /// A request's body.
 pub struct ReceivedBody {
-    /// Its bytes.
+    /// The bytes of the body.
     pub bytes: Bytes,
-    /// Its share of the memory for bodies, returned when dropped.
+    /// The memory that is reserved for the body, returned when dropped.
     pub memory: Option<OwnedSemaphorePermit>,
     /// The earliest instant at which its last byte may have arrived; the request's deadline counts
     /// from then.
@@ -42,7 +42,7 @@
     }
 
     /// Receives the body of an incoming request, up to `max_bytes`. Its memory is reserved from
-    /// `memory` (in KiB) as bytes arrive, not by the announced length: clients could otherwise
+    /// `memory` (in KiB) as bytes arrive, not by the declared length: clients could otherwise
     /// reserve all of it without sending anything. A reservation is awaited for at most `max_wait`,
     /// if that is given.
     pub async fn receive_body(
--- a/src/net/upstream/load_report.rs
+++ b/src/net/upstream/load_report.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{LoadReport, LoadReportField, MAX_LOAD_REPORT_FIELDS};
 
-/// What precedes the report where it comes as a header line.
+/// The name that precedes the report where it comes as a header line.
 const HEADER: &str = "Endpoint-Load-Metrics:";
 
 /// Parses a load report. `names` are the values' names in the settings; others are passed over, and
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -6,10 +6,11 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
+use super::connection::Connection;
 use super::load_report::parse_load_report;
 use super::pool::watch_idle;
 use super::stream_tail::StreamTail;
-use super::{Connection, Options, Upstream};
+use super::{Options, Upstream};
 use crate::interface::{LoadReport, ReplicaId};
 use crate::net::connection_limit::ConnectionLimit;
 use crate::net::stream::Stream;
@@ -129,7 +130,7 @@
             load_report_names: Vec::new(),
         },
         connection_limit: ConnectionLimit::new(2),
-        figures: Arc::new(Metrics::new(&[])),
+        metrics: Arc::new(Metrics::new(&[])),
         messages: mpsc::channel(1).0,
         pool: Mutex::default(),
     };
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,6 +1,5 @@
 //! The router: puts the core, discovery, the handover and the fronts together (`open`), serves
-//! until the process shuts down (here), and reads its configuration anew (`reload`). What the parts
-//! do is their own business.
+//! until the process shuts down (here), and reads its configuration anew (`reload`).
 
 mod open;
 mod reload;
@@ -24,9 +23,9 @@
 pub use reload::Reloader;
 pub use run::run;
 
-/// What a router is started with.
+/// The options of a router.
 pub struct RouterOptions {
-    /// Its configuration.
+    /// The router's configuration.
     pub config: Config,
     /// The batch front; `None` where it is off.
     pub batch: Option<batch::Options>,
--- a/src/router/open/listeners.rs
+++ b/src/router/open/listeners.rs
@@ -1,10 +1,17 @@
-//! The addresses that a router listens on, apart from the batch front's.
+//! The addresses that a router listens on, apart from the batch front's, and what all listeners
+//! share.
+
+use std::sync::Arc;
+use std::time::Instant;
 
 use tokio::net::TcpListener;
+use tokio::sync::watch;
 
 use crate::config::{Config, ConfigError};
 use crate::error::RunError;
-use crate::net::handover::Rendezvous;
+use crate::lifecycle::DrainingSince;
+use crate::net::handover::{LimitShares, Rendezvous};
+use crate::net::listener::{Heartbeat, ListenerContext};
 use crate::router::InheritedListener;
 
 /// The addresses of the platform's clients and of operators, and where other processes of the
@@ -26,7 +33,10 @@
         has_batch: bool,
     ) -> Result<Listeners, RunError> {
         let (platform, rendezvous) = match (inherited, &config.listen) {
-            (Some(inherited), _) => adopt(inherited)?,
+            (Some(inherited), _) => {
+                let rendezvous = find_rendezvous(&inherited)?;
+                (Some(adopt(inherited)?), rendezvous)
+            }
             (None, Some(address)) => (Some(bind(address, RunError::listen).await?), None),
             (None, None) if has_batch => (None, None),
             (None, None) => return Err(ConfigError::Missing("GW_LISTEN").into()),
@@ -43,14 +53,15 @@
     }
 }
 
-/// Uses the socket and the folder that the platform passes to the process.
-fn adopt(
-    inherited: InheritedListener,
-) -> Result<(Option<TcpListener>, Option<Rendezvous>), RunError> {
+/// The rendezvous in the folder that the platform passes with the socket, if it passes one.
+fn find_rendezvous(inherited: &InheritedListener) -> Result<Option<Rendezvous>, RunError> {
     let rendezvous = inherited.folder.as_deref().map(Rendezvous::new);
-    let rendezvous = rendezvous.transpose().map_err(RunError::System)?;
-    let listener = TcpListener::from_std(inherited.listener).map_err(RunError::System)?;
-    Ok((Some(listener), rendezvous))
+    rendezvous.transpose().map_err(RunError::System)
+}
+
+/// Uses the socket that the platform passes to the process.
+fn adopt(inherited: InheritedListener) -> Result<TcpListener, RunError> {
+    TcpListener::from_std(inherited.listener).map_err(RunError::System)
 }
 
 async fn bind(
@@ -61,3 +72,21 @@
         .await
         .map_err(|error| bind_error(address, error))
 }
+
+/// What all listeners share. `drain` and `successor_serving` are set by the lifecycle and by the
+/// handover; `shutdown` turns true when the process shuts down.
+pub(super) fn listener_context(
+    limits: &LimitShares,
+    drain: &watch::Sender<DrainingSince>,
+    successor_serving: &watch::Sender<bool>,
+    shutdown: watch::Receiver<bool>,
+) -> ListenerContext {
+    ListenerContext {
+        connection_limit: limits.client_sockets.clone(),
+        shutting_down: shutdown,
+        shutdown_signal: Default::default(),
+        replaced: successor_serving.subscribe(),
+        drained: drain.subscribe(),
+        heartbeat: Arc::new(Heartbeat::new(Instant::now())),
+    }
+}
--- a/src/router/open/mod.rs
+++ b/src/router/open/mod.rs
@@ -7,7 +7,8 @@
 //! 3. `edge`: its file, whose tenants belong to the decision module's settings;
 //! 4. `actors`: the core, the lifecycle, which carries operators' commands out on it, the edge, and
 //!    the source of the endpoint list (`endpoints`), which the core receives from now on;
-//! 5. `fronts`: the batch front and the platform's front.
+//! 5. `fronts`: the batch front and the platform's front;
+//! 6. `handover`: this process's side of replacements.
 //!
 //! Clients are accepted by [`Router::serve`], not here.
 
@@ -15,17 +16,16 @@
 mod edge;
 mod endpoints;
 mod fronts;
+mod handover;
 mod listeners;
 mod predecessor;
 
 use std::sync::Arc;
-use std::time::Instant;
 
 use tokio::sync::watch;
 
 use super::{AdminFront, PlatformFront, Router, RouterOptions};
 use crate::error::RunError;
-use crate::net::listener::{Heartbeat, ListenerContext};
 use crate::request_ids::RequestIds;
 
 use actors::Actors;
@@ -52,14 +52,8 @@
     let limits = Arc::new(start.limit_shares(&config));
     let drain = watch::Sender::new(None);
     let successor_serving = watch::Sender::new(false);
-    let listener_context = ListenerContext {
-        connection_limit: limits.client_sockets.clone(),
-        shutting_down: shutdown,
-        shutdown_signal: Default::default(),
-        replaced: successor_serving.subscribe(),
-        drained: drain.subscribe(),
-        heartbeat: Arc::new(Heartbeat::new(Instant::now())),
-    };
+    let listener_context =
+        listeners::listener_context(&limits, &drain, &successor_serving, shutdown);
     let inventory = inventory.or_else(|| batch.as_ref().and_then(|b| b.inventory.clone()));
     if inventory.is_some() {
         // the file's changes are noticed here, so the decision module need not poll
@@ -91,7 +85,8 @@
             .platform
             .map(|listener| PlatformFront { front, listener }),
         batch,
-        handover: start.into_handover(
+        handover: handover::handover_start(
+            start,
             actors,
             limits,
             config.localities,
