--- a/tests/pages/main.rs
+++ b/tests/pages/main.rs
@@ -1,10 +1,16 @@
-//! The pages name files, modules and types that exist: a rename in the code that a page does not
-//! follow fails here. `docs/measurements` and the roadmap tell history and are left out.
+//! The pages name files, modules, types and tests that exist: a rename in the code that a page does
+//! not follow fails here. `docs/measurements` and the roadmap tell history and are left out.
+//!
+//! A test is named as `tests/FILE::TEST`, or `src/MODULE::TEST` for a unit test.
+
+mod paths;
 
 use std::collections::HashSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
+use paths::{root, rust_files, wrong_paths};
+
 /// Folders of pages that describe the present code.
 const PAGE_FOLDERS: [&str; 3] = ["docs", "docs/design", "docs/operate"];
 /// Pages outside these folders.
@@ -15,14 +21,6 @@
     "docs/questions.md",
     "docs/design/regions.md",
 ];
-/// Folders whose names may stand first in a path, besides those of `src`.
-const ROOT_FOLDERS: [&str; 7] = [
-    "src", "tests", "crates", "benches", "examples", "deploy", "docs",
-];
-
-fn root() -> &'static Path {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-}
 
 /// All pages that are checked.
 fn pages() -> Vec<PathBuf> {
@@ -36,43 +34,41 @@
     pages
 }
 
-/// The texts between backquotes on each line outside fenced blocks.
-fn code_spans(page: &str) -> Vec<String> {
-    let mut spans = Vec::new();
+/// The lines of a page outside fenced blocks.
+fn lines_outside_fences(page: &str) -> Vec<&str> {
+    let mut lines = Vec::new();
     let mut fenced = false;
     for line in page.lines() {
         if line.trim_start().starts_with("```") {
             fenced = !fenced;
         } else if !fenced {
-            spans.extend(line.split('`').skip(1).step_by(2).map(String::from));
+            lines.push(line);
         }
     }
-    spans
+    lines
 }
 
-/// Whether a text looks like the path of a file or folder of this project.
-fn is_path(span: &str) -> bool {
-    let Some((first, _)) = span.split_once('/') else {
-        return false;
+/// The texts between backquotes on each line outside fenced blocks.
+fn code_spans(page: &str) -> Vec<String> {
+    let lines = lines_outside_fences(page);
+    let spans = |line: &str| -> Vec<String> {
+        let texts = line.split('`').skip(1).step_by(2);
+        texts.map(String::from).collect()
     };
-    let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "_-./".contains(c);
-    span.chars().all(plain) && (ROOT_FOLDERS.contains(&first) || is_module(first))
-}
-
-/// Whether a name is a module at the top of `src`.
-fn is_module(name: &str) -> bool {
-    !name.is_empty() && path_exists(&format!("src/{name}"))
+    lines.into_iter().flat_map(spans).collect()
 }
 
-/// Whether a path exists, below the root or below `src`, as it stands or as a module.
-fn path_exists(path: &str) -> bool {
-    let candidates = [
-        root().join(path),
-        root().join(format!("{path}.rs")),
-        root().join("src").join(path),
-        root().join("src").join(format!("{path}.rs")),
-    ];
-    candidates.iter().any(|candidate| candidate.exists())
+/// The names in snake case that stand outside backquotes, where no other check sees them.
+fn unquoted_names(page: &str) -> Vec<String> {
+    let separator = |c: char| !c.is_ascii_alphanumeric() && c != '_';
+    let mut unquoted = Vec::new();
+    for line in lines_outside_fences(page) {
+        for text in line.split('`').step_by(2) {
+            let names = text.split(separator).filter(|word| is_snake_case(word));
+            unquoted.extend(names.map(String::from));
+        }
+    }
+    unquoted
 }
 
 /// The names in a text such as `core::Request`, `LoadReport` or `cancel_unstarted` that the code
@@ -101,54 +97,29 @@
     word.contains('_') && word.chars().all(plain)
 }
 
-/// The file or folder of a module in a qualified name, such as `net/listener` of
-/// `net::listener::Heartbeat`; none where the first part is no module of this project.
-fn module_path(span: &str) -> Option<String> {
-    let parts: Vec<&str> = span.split("::").collect();
-    let lower = |part: &&str| part.chars().all(|c| c.is_ascii_lowercase() || c == '_');
-    let module: Vec<&str> = parts.iter().copied().take_while(lower).collect();
-    (parts.len() > 1 && module.first().is_some_and(|first| is_module(first)))
-        .then(|| module.join("/"))
-}
-
-/// Whether a module exists, or its parent, where the last part is a function.
-fn module_exists(path: &str) -> bool {
-    path_exists(path)
-        || path
-            .rsplit_once('/')
-            .is_some_and(|(parent, _)| path_exists(parent))
-}
-
-/// Adds all words of the Rust files below a folder.
-fn collect_words(folder: &Path, words: &mut HashSet<String>) {
-    for entry in fs::read_dir(folder).unwrap() {
-        let path = entry.unwrap().path();
-        if path.is_dir() {
-            collect_words(&path, words);
-        } else if path.extension().is_some_and(|kind| kind == "rs") {
-            let text = fs::read_to_string(&path).unwrap();
-            let separator = |c: char| !c.is_ascii_alphanumeric() && c != '_';
-            words.extend(text.split(separator).map(String::from));
-        }
+/// All words of the Rust files below a folder.
+fn words_below(folder: &Path) -> HashSet<String> {
+    let separator = |c: char| !c.is_ascii_alphanumeric() && c != '_';
+    let mut words = HashSet::new();
+    for file in rust_files(folder) {
+        let text = fs::read_to_string(&file).unwrap();
+        words.extend(text.split(separator).map(String::from));
     }
+    words
 }
 
 #[test]
 fn pages_name_existing_files_and_types() {
-    let mut words = HashSet::new();
-    for folder in ["src", "crates", "tests", "benches"] {
-        collect_words(&root().join(folder), &mut words);
-    }
+    let folders = ["src", "crates", "tests", "benches"];
+    let words: HashSet<String> = folders
+        .iter()
+        .flat_map(|folder| words_below(&root().join(folder)))
+        .collect();
     let mut unknown = Vec::new();
     for page in pages() {
         let name = page.strip_prefix(root()).unwrap().display().to_string();
         for span in code_spans(&fs::read_to_string(&page).unwrap()) {
-            if is_path(&span) && !path_exists(&span) {
-                unknown.push(format!("{name}: no file {span}"));
-            }
-            if module_path(&span).is_some_and(|module| !module_exists(&module)) {
-                unknown.push(format!("{name}: no module {span}"));
-            }
+            unknown.extend(wrong_paths(&span).map(|wrong| format!("{name}: {wrong}")));
             let missing = names(&span)
                 .into_iter()
                 .filter(|part| !words.contains(*part));
@@ -157,3 +128,32 @@
     }
     assert!(unknown.is_empty(), "{}", unknown.join("\n"));
 }
+
+#[test]
+fn names_stand_in_backquotes() {
+    let mut unquoted = Vec::new();
+    for page in pages() {
+        let name = page.strip_prefix(root()).unwrap().display().to_string();
+        let found = unquoted_names(&fs::read_to_string(&page).unwrap());
+        unquoted.extend(found.into_iter().map(|word| format!("{name}: {word}")));
+    }
+    assert!(unquoted.is_empty(), "{}", unquoted.join("\n"));
+}
+
+/// The check of a test's name fails on a test that its file lacks, and on a function that is none.
+#[test]
+fn wrong_test_names_are_found() {
+    let this_test = "tests/pages::wrong_test_names_are_found";
+    assert_eq!(wrong_paths(this_test), None);
+    assert_eq!(
+        wrong_paths("src/lru::size_is_bounded_and_latest_remain"),
+        None
+    );
+    for wrong in [
+        "tests/closing::wrong_test_names_are_found",
+        "tests/pages::test_exists",
+        "tests/no_such_file::wrong_test_names_are_found",
+    ] {
+        assert_eq!(wrong_paths(wrong), Some(format!("no test {wrong}")));
+    }
+}
