--- a/tests/pages/main.rs
+++ b/tests/pages/main.rs
@@ -84,6 +84,17 @@
     parts.into_iter().filter(is_name).collect()
 }
 
+/// The types in a text such as `Outcome::Completed` or `core::Clock::now` whose members it names.
+fn types_with_members(span: &str) -> Vec<&str> {
+    if names(span).is_empty() {
+        return Vec::new();
+    }
+    let mut parts: Vec<&str> = span.split("::").collect();
+    parts.pop();
+    let is_type = |part: &&str| part.starts_with(|c: char| c.is_ascii_uppercase());
+    parts.into_iter().filter(is_type).collect()
+}
+
 /// Whether a word is in camel case with two words or more.
 fn is_camel_case(word: &str) -> bool {
     let capitals = word.chars().filter(char::is_ascii_uppercase).count();
@@ -97,33 +108,60 @@
     word.contains('_') && word.chars().all(plain)
 }
 
-/// All words of the Rust files below a folder.
-fn words_below(folder: &Path) -> HashSet<String> {
-    let separator = |c: char| !c.is_ascii_alphanumeric() && c != '_';
-    let mut words = HashSet::new();
-    for file in rust_files(folder) {
-        let text = fs::read_to_string(&file).unwrap();
-        words.extend(text.split(separator).map(String::from));
+/// What the code has: its words, and the types that it declares.
+#[derive(Default)]
+struct Code {
+    words: HashSet<String>,
+    types: HashSet<String>,
+}
+
+impl Code {
+    /// Of all Rust files of the project.
+    fn read() -> Code {
+        let mut code = Code::default();
+        for folder in ["src", "crates", "tests", "benches"] {
+            for file in rust_files(&root().join(folder)) {
+                code.add(&fs::read_to_string(&file).unwrap());
+            }
+        }
+        code
+    }
+
+    fn add(&mut self, text: &str) {
+        let separator = |c: char| !c.is_ascii_alphanumeric() && c != '_';
+        self.words.extend(text.split(separator).map(String::from));
+        let words: Vec<&str> = text.split_whitespace().collect();
+        for pair in words.windows(2) {
+            if ["struct", "enum", "trait", "type"].contains(&pair[0]) {
+                let name = pair[1].split(separator).next().unwrap_or_default();
+                self.types.insert(name.to_owned());
+            }
+        }
+    }
+
+    /// What is wrong with the names in a text between backquotes.
+    fn wrong_names(&self, span: &str) -> Vec<String> {
+        let mut missing = names(span);
+        missing.retain(|name| !self.words.contains(*name));
+        let mut undeclared = types_with_members(span);
+        undeclared.retain(|name| !self.types.contains(*name));
+        let names = missing.into_iter().map(|name| format!("no name {name}"));
+        let types = undeclared.into_iter().map(|name| format!("no type {name}"));
+        names.chain(types).collect()
     }
-    words
 }
 
 #[test]
 fn pages_name_existing_files_and_types() {
-    let folders = ["src", "crates", "tests", "benches"];
-    let words: HashSet<String> = folders
-        .iter()
-        .flat_map(|folder| words_below(&root().join(folder)))
-        .collect();
+    let code = Code::read();
     let mut unknown = Vec::new();
     for page in pages() {
         let name = page.strip_prefix(root()).unwrap().display().to_string();
         for span in code_spans(&fs::read_to_string(&page).unwrap()) {
-            unknown.extend(wrong_paths(&span).map(|wrong| format!("{name}: {wrong}")));
-            let missing = names(&span)
+            let wrong = wrong_paths(&span)
                 .into_iter()
-                .filter(|part| !words.contains(*part));
-            unknown.extend(missing.map(|missing| format!("{name}: no name {missing}")));
+                .chain(code.wrong_names(&span));
+            unknown.extend(wrong.map(|wrong| format!("{name}: {wrong}")));
         }
     }
     assert!(unknown.is_empty(), "{}", unknown.join("\n"));
@@ -157,3 +195,17 @@
         assert_eq!(wrong_paths(wrong), Some(format!("no test {wrong}")));
     }
 }
+
+/// The check of a type's member fails where the code has the type's name as a mere word.
+#[test]
+fn undeclared_types_are_found() {
+    let mut code = Code::default();
+    code.add("/// Not a Word. pub struct Clock; impl Clock { fn now() {} }");
+    assert!(
+        code.wrong_names("core::Clock::now")
+            .contains(&"no name core".into())
+    );
+    assert_eq!(code.wrong_names("Clock::now"), Vec::<String>::new());
+    assert_eq!(code.wrong_names("Word::now"), ["no type Word"]);
+    assert_eq!(code.wrong_names("Clock::later"), ["no name later"]);
+}
