--- a/src/batch/http_api/chat.rs
+++ b/src/batch/http_api/chat.rs
@@ -7,8 +7,7 @@
 use super::session::Session;
 use crate::api::ApiError;
 use crate::batch::edge_access::EdgeAccess;
-use crate::edge::chat::Chat;
-use crate::edge::service::Work;
+use crate::edge::{ChatBody, ChatRequest};
 use crate::interface::stable_hash;
 use crate::net::http::{Body, Head, HttpError};
 use crate::request_ids::is_request_id;
@@ -22,7 +21,7 @@
         body: &mut Body,
     ) -> Result<Response, RequestError> {
         let received = self.receive_body(head, body).await?;
-        let mut chat = Chat::read(&received.bytes)?;
+        let mut chat = ChatBody::parse(&received.bytes)?;
         let received_at = received.received_at;
         // returns the memory of the body
         drop(received);
@@ -35,19 +34,19 @@
             chat.session = Some(stable_hash(session));
         }
         let is_streamed = chat.stream;
-        let work = Work {
+        let request = ChatRequest {
             caller: self.caller.clone(),
             chat,
             class: head.get("x-qos").map(String::from),
-            patience: timeout,
-            received: received_at,
+            timeout,
+            received_at,
             trace,
-            live: true,
+            interactive: true,
             client: Some(self.connection.presence()),
         };
         let started = tokio::select! {
             biased;
-            started = access.edge.start(work) => started,
+            started = access.edge.start(request) => started,
             // dropping the start cancels its attempt and returns its reservation
             () = self.connection.wait_for_disconnect() => {
                 return Err(HttpError::ConnectionClosed.into());
@@ -58,7 +57,7 @@
                 answer,
                 is_streamed,
             }))),
-            Err(declined) => Err(declined.error.into()),
+            Err(rejection) => Err(rejection.error.into()),
         }
     }
 
--- a/src/batch/http_api/chat_answer.rs
+++ b/src/batch/http_api/chat_answer.rs
@@ -8,7 +8,7 @@
 use crate::api::{ApiError, Reply};
 use crate::batch::completion::{CompletionBuilder, CompletionDefaults};
 use crate::batch::wall_clock::unix_seconds;
-use crate::edge::service::{Part, Serving};
+use crate::edge::{AnswerStream, StreamItem};
 use crate::net::http::{Head, HttpError, LAST_CHUNK, put_chunk};
 
 impl Session {
@@ -28,17 +28,21 @@
 
     /// Sends the events of the answer as they arrive. If it breaks off, the connection is closed
     /// without the last chunk, so that the client can tell.
-    async fn send_stream(&mut self, mut answer: Serving, close: bool) -> Result<(), HttpError> {
+    async fn send_stream(
+        &mut self,
+        mut answer: AnswerStream,
+        close: bool,
+    ) -> Result<(), HttpError> {
         let mut output = BytesMut::new();
         output.put_slice(self.stream_head(answer.model(), close).as_bytes());
         loop {
-            match self.next_part(&mut answer).await? {
-                Part::Data(bytes) => put_chunk(&mut output, &bytes),
-                Part::Done => {
+            match self.next_item(&mut answer).await? {
+                StreamItem::Data(bytes) => put_chunk(&mut output, &bytes),
+                StreamItem::Complete => {
                     output.put_slice(LAST_CHUNK);
                     return self.connection.write_last(&output).await;
                 }
-                Part::Broken => return Err(HttpError::ConnectionClosed),
+                StreamItem::Broken => return Err(HttpError::ConnectionClosed),
             }
             self.connection.write(&output).await?;
             output.clear();
@@ -59,15 +63,15 @@
     async fn send_completion(
         &mut self,
         head: &Head,
-        mut answer: Serving,
+        mut answer: AnswerStream,
         close: bool,
     ) -> Result<(), HttpError> {
         let mut builder = CompletionBuilder::default();
         let is_complete = loop {
-            match self.next_part(&mut answer).await? {
-                Part::Data(bytes) => builder.add(&bytes),
-                Part::Done => break true,
-                Part::Broken => break false,
+            match self.next_item(&mut answer).await? {
+                StreamItem::Data(bytes) => builder.add(&bytes),
+                StreamItem::Complete => break true,
+                StreamItem::Broken => break false,
             }
         };
         let completion = if is_complete {
@@ -85,18 +89,18 @@
         self.reply(head, &reply, close).await
     }
 
-    /// The next part of the answer, unless the client disconnects.
-    async fn next_part(&mut self, answer: &mut Serving) -> Result<Part, HttpError> {
+    /// The next item of the answer, unless the client disconnects.
+    async fn next_item(&mut self, answer: &mut AnswerStream) -> Result<StreamItem, HttpError> {
         tokio::select! {
             biased;
-            part = answer.next() => Ok(part),
+            item = answer.next() => Ok(item),
             () = self.connection.wait_for_disconnect() => Err(HttpError::ConnectionClosed),
         }
     }
 }
 
 /// The object of a complete answer. One that its budget cut off says why.
-fn completion(builder: CompletionBuilder, answer: &Serving) -> Result<Value, ApiError> {
+fn completion(builder: CompletionBuilder, answer: &AnswerStream) -> Result<Value, ApiError> {
     let defaults = CompletionDefaults {
         trace_id: answer.trace.id(),
         created_at: unix_seconds(),
@@ -105,8 +109,8 @@
     let mut completion = builder
         .finish(defaults)
         .map_err(|e| answer_error(&e.to_string()))?;
-    if let Some(reason) = answer.cut() {
-        completion["stilespan"] = reason.clone();
+    if let Some(cutoff) = answer.cutoff() {
+        completion["stilespan"] = cutoff.to_json();
     }
     Ok(completion)
 }
--- a/src/batch/http_api/routes.rs
+++ b/src/batch/http_api/routes.rs
@@ -25,7 +25,7 @@
         };
         // before the body is read, and before anything could be found out without a key
         self.caller = match &self.context.edge {
-            Some(edge) => edge.edge.identify(head.get("authorization"))?,
+            Some(edge) => edge.edge.authenticate(head.get("authorization"))?,
             None => Caller::default(),
         };
         match path {
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,17 +1,17 @@
-//! What the decision module is started with. The settings file and its keys belong to the callers.
+//! The settings of the decision module. The settings file and its keys belong to the callers.
 
 use super::{Class, LoadReportField, Span};
 
 /// The settings of the decision module, constant for the life of the process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many routers there are.
+    /// The number of routers in the deployment.
     pub router_count: u32,
-    /// The zone of this one.
+    /// The zone of this router.
     pub zone: u32,
     /// The least time between two steps.
     pub step_interval: Span,
-    /// The endpoint list comes only on request (a poll or a watch), and is not pushed.
+    /// The endpoint list has to be requested (by a poll or a watch), and is not pushed.
     pub endpoints_on_request: bool,
     /// A change of the endpoint list counts as notified this long after it, at the latest, even
     /// where the list was not requested.
@@ -20,7 +20,8 @@
     pub classes: Vec<Class>,
     /// The tenants' quotas, in requests a second over all routers; infinite where there is none.
     pub quotas: Vec<f64>,
-    /// The part of its priority weight, from 0 to 1, that a request beyond its tenant's quota has.
+    /// The fraction of its priority weight, from 0 to 1, that a request beyond its tenant's quota
+    /// has.
     pub over_quota_weight: f64,
     /// A broken stream may be resumed at another replica.
     pub stream_resumption: bool,
@@ -38,9 +39,9 @@
     pub max_retry_after: Span,
     /// The most attempts of a request.
     pub max_attempts: u32,
-    /// A connection that is idle for so long is closed.
+    /// A connection that is idle for this long is closed.
     pub idle_connection_timeout: Span,
-    /// Cost of an attempt in another zone, in units of priority weight, as the costs below.
+    /// Cost of an attempt in another zone, in units of priority weight, like the costs below.
     pub cross_zone_cost: f64,
     /// Cost of a new connection.
     pub connection_cost: f64,
@@ -48,14 +49,14 @@
     pub wasted_work_cost: f64,
     /// Cost of a health check.
     pub health_check_cost: f64,
-    /// Attempts at a draining or removed replica end within this.
+    /// Attempts at a draining or removed replica have to end within this.
     pub drain_grace: Span,
     /// A replica that is warming up fails when it is sent more than this multiple of its capacity
     /// within [`Settings::overload_window`].
     pub overload_factor: f64,
     /// The window over which a replica's load is compared with its capacity.
     pub overload_window: Span,
-    /// The part of its capacity, from 0 to 1, that a replica has at least when it starts.
+    /// The fraction of its capacity, from 0 to 1, that a replica has at least when it starts.
     pub slow_start_floor: f64,
     /// A replica has its full capacity this long after its start.
     pub slow_start_duration: Span,
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -159,11 +159,11 @@
         check: ServerCheck,
     ) -> Result<Vec<Exclusion>, AdminError> {
         let is_validated = check == ServerCheck::DoneByPeer;
-        self.core
+        let exclusions = self
+            .core
             .maintain(ReplicaId::from_name(name), name, action, is_validated)
-            .await
-            .map_err(|_| AdminError::ShuttingDown)?
-            .ok_or(AdminError::UnknownServer)
+            .await?;
+        Ok(exclusions)
     }
 
     /// Starts or ends the draining; the text that the operator reads.
--- a/src/router/open/actors.rs
+++ b/src/router/open/actors.rs
@@ -12,7 +12,7 @@
 use super::predecessor::StartState;
 use crate::config::Config;
 use crate::core::actor::{Core, CoreOptions};
-use crate::core::{CoreHandle, DiscoveryCommand, Message};
+use crate::core::{CoreHandle, CoreMessage, DiscoveryCommand};
 use crate::edge::Edge;
 use crate::error::RunError;
 use crate::interface::ReplicaId;
@@ -112,7 +112,7 @@
     /// The way in for fronts and commands.
     handle: CoreHandle,
     /// The core's message queue.
-    messages: mpsc::Sender<Message>,
+    messages: mpsc::Sender<CoreMessage>,
 }
 
 /// Starts the core's actor with the connections to model servers.
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -8,7 +8,9 @@
 use common::scripted_core::*;
 use rstest::rstest;
 use stilespan::core::actor::{Core, CoreOptions};
-use stilespan::core::{MAILBOX_CAPACITY, MaintenanceAction, Message, UpstreamCommand};
+use stilespan::core::{
+    CoreMessage, MAILBOX_CAPACITY, MaintenanceAction, MaintenanceError, UpstreamCommand,
+};
 use stilespan::interface::{
     Class, EndpointListKind, EndpointState, ReplicaId, RequestId, Settings, Span,
 };
@@ -33,7 +35,7 @@
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     while messages
-        .try_send(Message::ClientDisconnected {
+        .try_send(CoreMessage::ClientDisconnected {
             request: RequestId(7),
         })
         .is_ok()
@@ -41,7 +43,6 @@
     let exclusions = handle
         .maintain(ReplicaId(1), "s-1", MaintenanceAction::Exclude, false)
         .await
-        .unwrap()
         .expect("it is listed");
     assert_eq!((exclusions.len(), exclusions[0].restored_at), (1, None));
     assert!(
@@ -52,16 +53,14 @@
     assert_eq!(
         handle
             .maintain(ReplicaId(2), "s-2", MaintenanceAction::Exclude, false)
-            .await
-            .unwrap(),
-        None
+            .await,
+        Err(MaintenanceError::UnknownServer)
     );
     assert!(
         handle
             .maintain(ReplicaId(2), "s-2", MaintenanceAction::Exclude, true)
             .await
-            .unwrap()
-            .is_some()
+            .is_ok()
     );
 }
 
--- a/tests/pages/main.rs
+++ b/tests/pages/main.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashSet;
 use std::fs;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 use paths::{root, rust_files, wrong_paths};
 
