--- a/src/core/actor/endpoints.rs
+++ b/src/core/actor/endpoints.rs
@@ -1,5 +1,5 @@
-//! Updates of the endpoint list: what they change at the upstreams and at attempts, and the event
-//! that the decision module gets.
+//! Updates of the endpoint list: opens and closes upstreams, cancels attempts at servers that no
+//! longer take requests, and notifies the decision module.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -19,86 +19,106 @@
     /// The endpoint's address.
     pub address: String,
     /// When the endpoint started.
-    pub started: Timestamp,
-    /// The upstream's commands.
+    pub started_at: Timestamp,
+    /// The upstream's mailbox.
     pub commands: mpsc::Sender<UpstreamCommand>,
 }
 
 impl Core {
+    /// Processes an update of the endpoint list.
     pub(super) fn update_endpoints(&mut self, mut update: EndpointsUpdate) {
         let kind = update.kind;
         debug!(
             "endpoint list: {kind:?}, {} endpoints",
             update.endpoints.len()
         );
-        let now = self.clock.time_at(Instant::now());
-        let entries = update.endpoints.iter_mut().map(|e| &mut e.entry);
-        self.start_times.correct(kind, entries, now);
-        let entries = update.endpoints.iter_mut().map(|e| &mut e.entry);
-        self.exclusions.apply(kind, entries, now);
+        self.correct_entries(&mut update);
         self.fleet_published_at = None;
         if matches!(kind, EndpointListKind::Complete | EndpointListKind::Error) {
             self.stalls.endpoints_confirmed();
         }
-        let complete = !matches!(kind, EndpointListKind::Partial | EndpointListKind::Error);
-        if complete {
+        let is_complete = matches!(
+            kind,
+            EndpointListKind::Complete | EndpointListKind::Persisted
+        );
+        if is_complete {
             self.load.set_ready();
-            // An upstream whose command channel is dropped finishes the attempts that it has.
-            let listed: Vec<ReplicaId> = update.endpoints.iter().map(|e| e.entry.replica).collect();
-            self.upstreams.retain(|id, _| listed.contains(id));
+            self.close_unlisted_upstreams(&update.endpoints);
         }
         for endpoint in &update.endpoints {
             self.update_upstream(endpoint);
         }
-        let entries: Arc<[ReplicaEntry]> = update.endpoints.into_iter().map(|e| e.entry).collect();
+        let entries = update.endpoints.into_iter().map(|endpoint| endpoint.entry);
+        let entries: Arc<[ReplicaEntry]> = entries.collect();
         self.events.push(Event::EndpointsUpdated {
             kind,
             entries: entries.clone(),
         });
-        self.cancel_unstarted_at_unavailable(&entries, complete);
+        self.cancel_unstarted_at_unavailable(&entries, is_complete);
+    }
+
+    /// Replaces stated starts by those on this process's clock, and applies operators' exclusions.
+    fn correct_entries(&mut self, update: &mut EndpointsUpdate) {
+        let now = self.clock.time_at(Instant::now());
+        let entries = update.endpoints.iter_mut();
+        let entries = entries.map(|endpoint| &mut endpoint.entry);
+        self.start_times.correct(update.kind, entries, now);
+        let entries = update.endpoints.iter_mut();
+        let entries = entries.map(|endpoint| &mut endpoint.entry);
+        self.exclusions.apply(update.kind, entries, now);
+    }
+
+    /// Closes the upstreams of endpoints that a complete list does not name. An upstream whose
+    /// command channel is dropped finishes the attempts that it has.
+    fn close_unlisted_upstreams(&mut self, endpoints: &[Endpoint]) {
+        let replicas = endpoints.iter().map(|endpoint| endpoint.entry.replica);
+        let listed: Vec<ReplicaId> = replicas.collect();
+        self.upstreams.retain(|id, _| listed.contains(id));
     }
 
     /// Cancels attempts that wait for a connection to a model server which no longer takes
     /// requests. Connections may take longer than the drain bound, so such an attempt could start
-    /// past it.
-    fn cancel_unstarted_at_unavailable(&mut self, entries: &[ReplicaEntry], complete: bool) {
+    /// past it. `is_complete`: servers without an entry are not in the list.
+    fn cancel_unstarted_at_unavailable(&mut self, entries: &[ReplicaEntry], is_complete: bool) {
         let states: FxHashMap<ReplicaId, EndpointState> = entries
             .iter()
             .map(|entry| (entry.replica, entry.state))
             .collect();
         let in_service = |replica: ReplicaId| match states.get(&replica) {
             Some(state) => *state == EndpointState::InService,
-            None => !complete,
+            None => !is_complete,
         };
         self.cancel_unstarted(|replica| !in_service(replica), Instant::now());
     }
 
     /// Opens the upstream of an endpoint that is new or has restarted, and closes that of one which
-    /// is gone.
+    /// was removed from the list.
     fn update_upstream(&mut self, endpoint: &Endpoint) {
         let replica = endpoint.entry.replica;
         if endpoint.entry.state == EndpointState::Removed {
             self.upstreams.remove(&replica);
             return;
         }
-        let (address, started) = (endpoint.address.clone(), endpoint.entry.started_at);
+        let address = endpoint.address.clone();
+        let started_at = endpoint.entry.started_at;
         // After a restart the idle connections lead to the former process, which may have ended
         // without closing them.
-        let unchanged =
-            |upstream: &UpstreamHandle| upstream.address == address && upstream.started == started;
+        let unchanged = |upstream: &UpstreamHandle| {
+            upstream.address == address && upstream.started_at == started_at
+        };
         if self.upstreams.get(&replica).is_some_and(unchanged) {
             return;
         }
-        // An older endpoint at the same address has gone unnoticed: what is meant for it must not
-        // reach the new one.
+        // An older endpoint at the same address has ended unnoticed: its attempts must not reach
+        // the new one.
         self.upstreams
-            .retain(|_, upstream| upstream.address != address || upstream.started > started);
+            .retain(|_, upstream| upstream.address != address || upstream.started_at > started_at);
         let commands = self.connector.open(replica, endpoint);
         self.upstreams.insert(
             replica,
             UpstreamHandle {
                 address,
-                started,
+                started_at,
                 commands,
             },
         );
--- a/src/core/actor/mod.rs
+++ b/src/core/actor/mod.rs
@@ -34,16 +34,16 @@
 
 pub use options::CoreOptions;
 
-/// How long before the client's expiry the decision module has to answer (10 ms): the answer still
-/// has to be written and to reach the client.
+/// How long before the client stops waiting the decision module has to answer (10 ms): the answer
+/// still has to be written and to reach the client.
 const CLIENT_ANSWER_MARGIN: Span = Span::from_millis(10);
-/// How long before the client's expiry the core itself answers a request for which the decision
-/// module has given none (3 ms).
+/// How long before the client stops waiting the core itself answers a request for which the
+/// decision module has given no answer (3 ms).
 const LAST_ANSWER_MARGIN: Span = Span::from_millis(3);
 /// The most operators' commands that wait for the core.
 const MAINTENANCE_MAILBOX_CAPACITY: usize = 16;
 
-/// How long retries of a class's requests are allowed, where that is limited.
+/// How long retries of a class's requests are allowed; `None`: without limit.
 fn retry_window(class: &Class) -> Option<Duration> {
     (class.idempotency == Idempotency::Keyed).then(|| Duration::from(class.deduplication_window))
 }
@@ -57,7 +57,7 @@
     max_attempts: u32,
     max_requests_in_flight: usize,
     attempt_start_timeout: Duration,
-    /// How long retries of each class's requests are allowed, where that is limited.
+    /// How long retries of each class's requests are allowed; `None`: without limit.
     retry_windows: Vec<Option<Duration>>,
     connector: Box<dyn Connector>,
     discovery: mpsc::Sender<DiscoveryCommand>,
@@ -67,8 +67,7 @@
     start_times: StartTimes,
     exclusions: Exclusions,
     metrics: Arc<Metrics>,
-    /// When the metrics of the fleet were last published; none when they are due with the next
-    /// step.
+    /// When the metrics of the fleet were last published; `None`: they are due with the next step.
     fleet_published_at: Option<Instant>,
     stalls: StallDetector,
     upstreams: FxHashMap<ReplicaId, UpstreamHandle>,
--- a/src/core/actor/options.rs
+++ b/src/core/actor/options.rs
@@ -1,4 +1,4 @@
-//! What the core is started with.
+//! The options with which the core is started.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 use crate::ops::exclusions::Exclusion;
 use crate::ops::metrics::Metrics;
 
-/// What the core is started with.
+/// The options with which the core is started.
 pub struct CoreOptions {
     /// The settings of the decision module.
     pub settings: Settings,
     /// The seed of the decision module's random numbers.
     pub seed: u64,
-    /// The most requests in flight at once; what exceeds it is rejected.
+    /// The most requests in flight at once; further ones are rejected.
     pub max_requests_in_flight: usize,
     /// An attempt whose first byte was not written this long after it was ordered is not sent.
     pub attempt_start_timeout: Duration,
--- a/src/core/actor/requests.rs
+++ b/src/core/actor/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: submitted, abandoned by their clients, and forgotten when nothing is left to do.
+//! Requests: submitted, abandoned by their clients, and removed once they are finished.
 
 use std::time::Instant;
 
@@ -13,7 +13,7 @@
 use crate::core::{Answer, Request, RequestAttributes};
 use crate::interface::{Arrival, Event, Outcome, RequestId, Span, Timestamp};
 
-/// A request as the decision module gets to know it.
+/// The attributes of a request that the decision module gets.
 fn arrival(request: RequestId, attributes: &RequestAttributes, expires_at: Timestamp) -> Arrival {
     Arrival {
         request,
@@ -42,7 +42,7 @@
         id_sender: oneshot::Sender<RequestId>,
     ) {
         if self.requests.len() >= self.max_requests_in_flight {
-            // As at the platform: the decision module does not see what exceeds the limit.
+            // As on the platform, the decision module is not notified of requests beyond the limit.
             let _ = answer_sender.send(Answer::Rejected {
                 retry_after: None,
                 forwarded: false,
@@ -62,11 +62,8 @@
         );
         let expires_at =
             self.clock.time_at(attributes.received_at) + Span::from(attributes.timeout);
-        let retry_window = self
-            .retry_windows
-            .get(attributes.class as usize)
-            .copied()
-            .flatten();
+        let retry_window = self.retry_windows.get(attributes.class as usize);
+        let retry_window = retry_window.copied().flatten();
         let mut in_flight = InFlightRequest {
             state: RequestState::accepted(answer_sender),
             history: AttemptHistory::new(attributes.prior_attempts, retry_window),
@@ -114,7 +111,7 @@
         self.forget_if_finished(request);
     }
 
-    /// Removes a request to which nothing can happen any more.
+    /// Removes a request that is finished: it can have no further event.
     pub(super) fn forget_if_finished(&mut self, request: RequestId) {
         let finished = |in_flight: &InFlightRequest| in_flight.state.is_finished();
         if self.requests.get(&request).is_some_and(finished)
--- a/src/core/actor/run.rs
+++ b/src/core/actor/run.rs
@@ -17,7 +17,7 @@
 const STEP_ONLY_TIMER_ID: u64 = u64::MAX;
 
 impl Core {
-    /// Runs until all senders of messages are gone.
+    /// Runs until all senders of messages are dropped.
     pub(super) async fn run(mut self) {
         // The first step sets the decision module's own timers.
         self.step(Instant::now());
--- a/src/core/actor/timers.rs
+++ b/src/core/actor/timers.rs
@@ -11,7 +11,7 @@
 use crate::core::{Answer, AttemptId};
 use crate::interface::{Event, Outcome, RequestId, Timestamp};
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// A timer of the decision module, with the id that it gave.
@@ -33,8 +33,8 @@
     },
 }
 
-/// The timers that are set, the earliest first. Timers are not removed when what they are for has
-/// ended; they have no effect then.
+/// The timers that are set, the earliest first. A timer is not removed when its attempt or request
+/// has ended; it has no effect then.
 #[derive(Debug, Default)]
 pub(super) struct TimerQueue(BinaryHeap<Reverse<(Timestamp, Timer)>>);
 
@@ -49,7 +49,7 @@
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes out the next timer that has fired by now.
+    /// Removes and returns the next timer, if its time has come.
     pub fn pop_expired(&mut self, now: Timestamp) -> Option<Timer> {
         self.next_at().filter(|at| *at <= now)?;
         self.0.pop().map(|Reverse((_, timer))| timer)
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Answers a request for its decision module, which was given an earlier time and has mostly
-    /// answered by now: every request has to get its answer.
+    /// Fails a request that the decision module has not answered in time. It was given an earlier
+    /// expiry, so this is rare; but every request has to get an answer.
     fn expire(&mut self, request: RequestId) {
         let Some(in_flight) = self.requests.get_mut(&request) else {
             return;
--- a/src/core/attempt_history/tests.rs
+++ b/src/core/attempt_history/tests.rs
@@ -10,7 +10,10 @@
 #[case::no_attempt_yet(&[], 350)]
 #[case::first_may_have_run(&[(0, Outcome::ConnectionReset)], 300)]
 #[case::later_ones_change_nothing(&[(0, Outcome::ConnectionReset), (200, Outcome::Timeout)], 300)]
-#[case::never_ran(&[(0, Outcome::ConnectFailed), (10, Outcome::Rejected), (20, Outcome::NeverSent)], 350)]
+#[case::never_ran(
+    &[(0, Outcome::ConnectFailed), (10, Outcome::Rejected), (20, Outcome::NeverSent)],
+    350
+)]
 #[case::second_may_have_run(&[(0, Outcome::Rejected), (80, Outcome::Error)], 350)]
 fn retry_window_bounds_start(#[case] outcomes: &[(u64, Outcome)], #[case] latest_ms: u64) {
     let start = Instant::now();
--- a/src/core/client.rs
+++ b/src/core/client.rs
@@ -1,4 +1,4 @@
-//! The client of a request, as the core can check on it. How it is connected is not known here.
+//! The client of a request, as far as the core knows it. Its connection belongs to the front end.
 
 /// Reports whether a client is still connected.
 pub trait Client: Send + Sync + std::fmt::Debug {
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -18,7 +18,7 @@
     wall: fn() -> Duration,
 }
 
-/// One clock for all modules, so that a time means the same to each.
+/// One clock for all modules, so that their times can be compared.
 static PROCESS: OnceLock<Clock> = OnceLock::new();
 
 fn wall_clock() -> Duration {
@@ -45,19 +45,19 @@
 
     /// An instant, as the decision module's time.
     pub fn time_at(&self, instant: Instant) -> Timestamp {
-        Timestamp::from_micros(
-            (self.unix_at_start + instant.saturating_duration_since(self.started_at)).as_micros()
-                as u64,
-        )
+        let since_start = instant.saturating_duration_since(self.started_at);
+        let unix_time = self.unix_at_start + since_start;
+        Timestamp::from_micros(unix_time.as_micros() as u64)
     }
 
     /// The decision module's time, as an instant.
     pub fn instant_at(&self, time: Timestamp) -> Instant {
-        self.started_at + Duration::from_micros(time.as_micros()).saturating_sub(self.unix_at_start)
+        let unix_time = Duration::from_micros(time.as_micros());
+        self.started_at + unix_time.saturating_sub(self.unix_at_start)
     }
 
-    /// What the machine's wall clock reads now, with any steps that it made. For times that leave
-    /// the process, and for calendar dates.
+    /// The machine's wall clock now, including any steps that it made. For times that leave the
+    /// process, and for calendar dates.
     pub fn wall_time(&self) -> Timestamp {
         Timestamp::from_micros((self.wall)().as_micros() as u64)
     }
--- a/src/core/handle.rs
+++ b/src/core/handle.rs
@@ -83,7 +83,7 @@
         &self.load
     }
 
-    /// Submits a request. Dropping the pending request before its answer has been passed on
+    /// Submits a request. Dropping the pending request before its answer has been forwarded
     /// completely reports to the core that the client has disconnected.
     pub async fn submit(&self, request: Request) -> Result<PendingRequest, CoreStopped> {
         let metrics_guard = self.metrics.start_request(request.attributes.class);
@@ -106,14 +106,14 @@
 }
 
 /// A submitted request. A guard: dropping it reports that the client has disconnected, unless the
-/// answer was passed on completely.
+/// answer was forwarded completely.
 #[derive(Debug)]
 pub struct PendingRequest {
     answer: oneshot::Receiver<Answer>,
     id: Option<oneshot::Receiver<RequestId>>,
     messages: mpsc::Sender<CoreMessage>,
     metrics_guard: RequestGuard,
-    /// The outcome that is counted once its answer has been passed on completely.
+    /// The outcome that is counted once its answer has been forwarded completely.
     outcome_when_complete: RequestOutcome,
 }
 
@@ -137,7 +137,7 @@
         self.metrics_guard.set_outcome(RequestOutcome::Failed);
     }
 
-    /// The answer has been passed on completely.
+    /// Counts the request with the outcome of its answer, which was forwarded completely.
     pub fn complete(mut self) {
         self.metrics_guard.set_outcome(self.outcome_when_complete);
         self.id = None;
--- a/src/core/load.rs
+++ b/src/core/load.rs
@@ -1,10 +1,10 @@
-//! Readiness and load of the core, for the fronts and for work that yields to interactive requests.
-//! Counters only; what follows from them is decided elsewhere.
+//! Readiness and load of the core, for front ends and for work that yields to interactive requests.
+//! Counters only; their readers decide what to do.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// How long interactive requests have waited for their first tokens, in total.
+/// The total time that interactive requests have waited for their first tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FirstTokenWaits {
     /// Requests whose first token has come.
@@ -39,7 +39,7 @@
         self.rejected.load(Ordering::Relaxed)
     }
 
-    /// What interactive requests have waited for their first tokens so far.
+    /// The waits of interactive requests for their first tokens so far.
     pub fn first_token_waits(&self) -> FirstTokenWaits {
         FirstTokenWaits {
             count: self.first_tokens.load(Ordering::Relaxed),
--- a/src/core/stall_detector/tests.rs
+++ b/src/core/stall_detector/tests.rs
@@ -24,7 +24,8 @@
             }
             let suspended = woke.is_some_and(|at| now - at < MAX_SUSPENSION);
             prop_assert_eq!(stalls.is_suspended(now), suspended);
-            prop_assert!(stalls.next_wakeup() <= now + HEARTBEAT_INTERVAL && stalls.next_wakeup() >= now);
+            let wakeup = stalls.next_wakeup();
+            prop_assert!(wakeup <= now + HEARTBEAT_INTERVAL && wakeup >= now);
         }
     }
 }
--- a/src/core/start_times.rs
+++ b/src/core/start_times.rs
@@ -30,7 +30,7 @@
     corrected: Timestamp,
 }
 
-/// Up to when the list is known to have been up to date.
+/// How recently the list is known to have been up to date.
 #[derive(Debug, Default)]
 struct ListFreshness {
     /// The last call failed, or its watch broke.
@@ -52,16 +52,11 @@
         }
     }
 
-    /// The earliest start of a server that was not in the list so far; none where that is not
+    /// The earliest start of a server that was not in the list so far; `None` where that is not
     /// known.
     fn earliest_join(&self) -> Option<Timestamp> {
-        self.up_to_date_at.map(|up_to_date_at| {
-            Timestamp::from_micros(
-                up_to_date_at
-                    .as_micros()
-                    .saturating_sub(MAX_REPORT_DELAY.as_micros()),
-            )
-        })
+        self.up_to_date_at
+            .map(|up_to_date_at| up_to_date_at - MAX_REPORT_DELAY)
     }
 }
 
@@ -90,74 +85,72 @@
             return;
         }
         let mut entries: Vec<&mut ReplicaEntry> = entries.collect();
-        let earliest = self.earliest(kind, &entries, now);
+        let earliest = self.earliest_start(kind, &entries, now);
         let mut changed = entries.is_empty() && !self.listed.is_empty();
-        let complete = matches!(
-            kind,
-            EndpointListKind::Complete | EndpointListKind::Persisted
-        );
-        let previous = if complete {
-            std::mem::take(&mut self.listed)
-        } else {
-            FxHashMap::default()
-        };
-        for (replica, start) in previous {
-            self.removed.insert(replica, start);
+        if kind != EndpointListKind::Partial {
+            for (replica, start) in std::mem::take(&mut self.listed) {
+                self.removed.insert(replica, start);
+            }
         }
         for entry in &mut entries {
             changed |= self.known_start(entry).is_none() || self.is_removal(entry);
             self.correct_entry(entry, earliest, now);
         }
-        // A change that repeats what is known need not come from discovery, and does not show that
+        // A change that repeats known entries need not come from discovery, and does not show that
         // the rest of the list is up to date.
         if kind == EndpointListKind::Complete || (kind == EndpointListKind::Partial && changed) {
             self.freshness.record_update(now);
         }
     }
 
-    /// The earliest start of a server that joins with this update; none where it may have started
-    /// at any time.
-    fn earliest(
+    /// The earliest start of a server that joins with this update; `None` where it may have started
+    /// at any time. The starts of such a list show how far the platform's clock is ahead.
+    fn earliest_start(
         &mut self,
         kind: EndpointListKind,
         entries: &[&mut ReplicaEntry],
         now: Timestamp,
     ) -> Option<Timestamp> {
-        let bound = self
-            .freshness
-            .earliest_join()
-            .filter(|_| kind != EndpointListKind::Persisted);
-        let joins = || {
-            entries
-                .iter()
-                .filter(|entry| !entry.started_at.is_zero() && self.known_start(entry).is_none())
+        let joined = |entry: &&&mut ReplicaEntry| {
+            !entry.started_at.is_zero() && self.known_start(entry).is_none()
         };
-        let earlier = |bound: Timestamp| {
-            joins()
-                .filter(|entry| self.on_this_clock(entry.started_at) < bound)
-                .count()
-        };
-        // A complete list that is mostly new is the list of another fleet: its servers have not all
-        // restarted at once.
-        let is_replaced = |bound: &Timestamp| {
-            kind == EndpointListKind::Complete && earlier(*bound) > entries.len() / 2
-        };
-        let bound = bound.filter(|bound| !is_replaced(bound));
+        let joins: Vec<Timestamp> = entries
+            .iter()
+            .filter(joined)
+            .map(|entry| entry.started_at)
+            .collect();
+        let bound = self.join_bound(kind, &joins, entries.len());
         if bound.is_none()
-            && let Some(newest) = joins().map(|entry| entry.started_at).max()
+            && let Some(&newest) = joins.iter().max()
         {
             self.min_clock_lead = self.min_clock_lead.max(newest - now);
         }
         bound
     }
 
+    /// The bound of [`StartTimes::earliest_start`], by the stated starts of the servers that join.
+    fn join_bound(
+        &self,
+        kind: EndpointListKind,
+        joins: &[Timestamp],
+        listed: usize,
+    ) -> Option<Timestamp> {
+        if kind == EndpointListKind::Persisted {
+            return None;
+        }
+        let bound = self.freshness.earliest_join()?;
+        let is_earlier = |stated: &&Timestamp| self.on_this_clock(**stated) < bound;
+        let earlier = joins.iter().filter(is_earlier).count();
+        // A complete list that is mostly new is the list of another fleet: its servers have not all
+        // restarted at once.
+        let is_other_fleet = kind == EndpointListKind::Complete && earlier > listed / 2;
+        (!is_other_fleet).then_some(bound)
+    }
+
     /// The start known for a server, where the list states the same one again.
     fn known_start(&self, entry: &ReplicaEntry) -> Option<Start> {
-        let start = self
-            .listed
-            .get(&entry.replica)
-            .copied()
-            .or_else(|| self.removed.get(&entry.replica))?;
+        let listed = self.listed.get(&entry.replica).copied();
+        let start = listed.or_else(|| self.removed.get(&entry.replica))?;
         (start.stated == entry.started_at).then_some(start)
     }
 
@@ -166,14 +159,10 @@
         entry.state == EndpointState::Removed && self.listed.contains_key(&entry.replica)
     }
 
-    /// A stated start by what is known of the platform's clock. Never zero, which means long ago.
+    /// A stated start, corrected by what is known of the platform's clock. Never zero, which means
+    /// long ago.
     fn on_this_clock(&self, stated: Timestamp) -> Timestamp {
-        Timestamp::from_micros(
-            stated
-                .as_micros()
-                .saturating_sub(self.min_clock_lead.as_micros())
-                .max(1),
-        )
+        (stated - self.min_clock_lead).max(Timestamp::from_micros(1))
     }
 
     fn correct_entry(
--- a/src/core/start_times/tests/fleet.rs
+++ b/src/core/start_times/tests/fleet.rs
@@ -1,22 +1,24 @@
-//! Fleets whose servers start, restart and leave, with a discovery that lags and a platform's clock
-//! that is stepped.
+//! Property tests over fleets whose servers start, restart and leave, with a discovery that lags and
+//! a platform's clock that is stepped.
+
+use std::collections::BTreeMap;
 
 use proptest::prelude::*;
 
 use super::*;
 
-/// What happens to a fleet.
+/// An event in the life of a fleet.
 #[derive(Clone, Debug)]
 enum FleetEvent {
-    /// A server starts; discovery reports it after so many milliseconds.
+    /// A server starts; discovery reports it after `lag` milliseconds.
     Start { id: u64, lag: u64 },
     /// A server leaves the list.
     Leave { id: u64 },
     /// An update with all changes so far.
     Update { complete: bool },
-    /// Calls fail for so many seconds, and for so many more discovery reports no changes.
+    /// Calls fail for `down` seconds, and for `behind` more discovery reports no changes.
     Outage { down: u64, behind: u64 },
-    /// The platform's clock is stepped to be ahead of the process's by so many seconds.
+    /// The platform's clock is stepped, to be `ahead` seconds ahead of the process's.
     Step { ahead: i64 },
 }
 
@@ -31,7 +33,7 @@
     ]
 }
 
-/// A server as it is, beside what the list states.
+/// A server: its actual start, and what the list states.
 #[derive(Clone, Copy, Debug)]
 struct Server {
     actual: Timestamp,
@@ -47,10 +49,10 @@
     ahead: i64,
     /// Discovery reports no changes until then.
     behind_until: Timestamp,
-    servers: std::collections::BTreeMap<u64, Server>,
+    servers: BTreeMap<u64, Server>,
     starts: StartTimes,
     /// When discovery last had no change left to report.
-    current: Timestamp,
+    up_to_date_at: Timestamp,
 }
 
 /// A start as the process has it.
@@ -62,7 +64,7 @@
     join: bool,
     complete: bool,
     /// When the list was last up to date before.
-    current: Timestamp,
+    up_to_date_at: Timestamp,
 }
 
 impl Fleet {
@@ -80,7 +82,7 @@
                 },
             )
         };
-        let servers: std::collections::BTreeMap<u64, Server> = (1..9).map(server).collect();
+        let servers: BTreeMap<u64, Server> = (1..9).map(server).collect();
         let mut starts = StartTimes::default();
         let list: Vec<(u64, Timestamp)> = servers
             .iter()
@@ -93,7 +95,7 @@
             behind_until: at(0),
             servers,
             starts,
-            current: at(0),
+            up_to_date_at: at(0),
         }
     }
 
@@ -140,7 +142,7 @@
     /// The process receives an update of the list.
     fn update(&mut self, complete: bool) -> Vec<Seen> {
         let behind = self.now < self.behind_until;
-        let (now, current) = (self.now, self.current);
+        let (now, up_to_date_at) = (self.now, self.up_to_date_at);
         let reports = |server: &Server| !behind && server.visible_from <= now;
         let named = |server: &Server| match complete {
             true => !server.left && (server.listed || reports(server)),
@@ -172,7 +174,7 @@
         };
         self.starts.correct(kind, entries.iter_mut(), now);
         if !behind {
-            self.current = now;
+            self.up_to_date_at = now;
         }
         let mut seen = Vec::new();
         for entry in &entries {
@@ -188,7 +190,7 @@
                 started: entry.started_at,
                 join,
                 complete,
-                current,
+                up_to_date_at,
             });
         }
         seen
@@ -198,7 +200,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
-    /// Whatever discovery's lag and outages, a right clock's starts stay as the list states them.
+    /// Whatever discovery's lag and outages, starts by a correct clock stay as the list states them.
     #[test]
     fn with_right_clocks_nothing_changes(
         events in prop::collection::vec((event(false), 0..4_000u64), 0..80),
@@ -219,7 +221,7 @@
         events in prop::collection::vec((event(true), 0..4_000u64), 0..80),
     ) {
         let mut fleet = Fleet::new();
-        let mut known: std::collections::BTreeMap<(u64, Timestamp), Timestamp> = std::collections::BTreeMap::new();
+        let mut known: BTreeMap<(u64, Timestamp), Timestamp> = BTreeMap::new();
         let mut outage = false;
         for (event, pause) in &events {
             outage |= matches!(event, FleetEvent::Outage { .. });
@@ -232,9 +234,10 @@
                 prop_assert!(seen.started <= now, "{:?}", seen);
                 // a complete list of mostly new servers is taken for another list
                 if seen.join && !seen.complete && !outage {
-                    let earliest = seen.current.as_micros() - MAX_REPORT_DELAY.as_micros();
+                    let earliest = seen.up_to_date_at.as_micros() - MAX_REPORT_DELAY.as_micros();
                     prop_assert!(seen.started.as_micros() >= earliest, "{:?}", seen);
-                    prop_assert!(seen.server.actual.as_micros() >= earliest, "the model is wrong: {:?}", seen);
+                    let actual = seen.server.actual.as_micros();
+                    prop_assert!(actual >= earliest, "the model is wrong: {:?}", seen);
                 }
                 let first = *known.entry((seen.id, seen.server.actual)).or_insert(seen.started);
                 prop_assert_eq!(first, seen.started, "{:?}", seen);
--- a/src/ops/exclusions.rs
+++ b/src/ops/exclusions.rs
@@ -1,6 +1,6 @@
-//! Model servers that operators exclude, as an overlay on the endpoint list. The policy sees an
-//! excluded server as draining and knows of no exclusion; whatever the list says meanwhile, the
-//! overlay is applied to it. Stored state is [`super::maintenance_state`]'s.
+//! Model servers that operators exclude from routing, as an overlay on the endpoint list: it is
+//! applied to every update of the list, and the policy sees an excluded server as draining. The
+//! stored form belongs to [`super::maintenance_state`].
 
 use std::collections::BTreeMap;
 
@@ -36,8 +36,8 @@
     /// read now. Ages stay; a time ahead of its clock, which was stepped since, becomes now.
     pub(super) fn on_clock(self, from: Timestamp, to: Timestamp) -> Exclusion {
         let converted = |time: u64| {
-            to.as_micros()
-                .saturating_sub((from - Timestamp::from_micros(time)).as_micros())
+            let age = from - Timestamp::from_micros(time);
+            (to - age).as_micros()
         };
         Exclusion {
             excluded_at: converted(self.excluded_at),
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Whether it still changes what the policy sees.
-    fn matters(&self, now: Timestamp) -> bool {
+    /// Whether it still changes the entries that the policy sees.
+    fn is_in_effect(&self, now: Timestamp) -> bool {
         self.restored_at
             .is_none_or(|restored| now - Timestamp::from_micros(restored) < RESTORATION_MEMORY)
     }
@@ -62,7 +62,7 @@
 }
 
 impl Exclusions {
-    /// Starts with the exclusions of the process before.
+    /// Starts with the exclusions that the previous process stored.
     pub fn new(saved: impl IntoIterator<Item = (ReplicaId, Exclusion)>) -> Exclusions {
         Exclusions {
             exclusions: saved.into_iter().collect(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes in a list update, and changes its entries into what the policy is to see.
+    /// Processes an update of the list, and changes its entries into those that the policy sees.
     pub fn apply<'a>(
         &mut self,
         kind: EndpointListKind,
@@ -93,10 +93,10 @@
             self.apply_to(entry);
         }
         self.exclusions
-            .retain(|_, exclusion| exclusion.matters(now));
+            .retain(|_, exclusion| exclusion.is_in_effect(now));
     }
 
-    /// Changes an entry into what the policy is to see.
+    /// Changes an entry into the one that the policy sees.
     fn apply_to(&self, entry: &mut ReplicaEntry) {
         let Some(exclusion) = self.exclusions.get(&entry.replica) else {
             return;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// What the policy is to see of a server now; `None` if the list doesn't name it.
+    /// The entry of a server that the policy sees now; `None` if the list doesn't name it.
     fn effective_entry(&self, replica: ReplicaId) -> Option<ReplicaEntry> {
         let mut entry = self.listed.get(&replica)?.clone();
         self.apply_to(&mut entry);
@@ -126,7 +126,7 @@
         self.ever_listed.get(&replica).is_some() || self.exclusions.contains_key(&replica)
     }
 
-    /// Excludes a server; what the policy is to see of it now, if it is listed.
+    /// Excludes a server. Returns the entry that the policy sees from now on, if it is listed.
     pub fn exclude(
         &mut self,
         replica: ReplicaId,
@@ -144,7 +144,7 @@
         self.effective_entry(replica)
     }
 
-    /// Restores a server; what the policy is to see of it now, if it is listed.
+    /// Restores a server. Returns the entry that the policy sees from now on, if it is listed.
     pub fn restore(&mut self, replica: ReplicaId, now: Timestamp) -> Option<ReplicaEntry> {
         let exclusion = self.exclusions.get_mut(&replica)?;
         let start_is_listed = self
--- a/src/ops/exclusions/tests.rs
+++ b/src/ops/exclusions/tests.rs
@@ -144,7 +144,8 @@
             };
             let server = model[&id];
             if let Some(seen) = seen.filter(|_| server.listed.is_some()) {
-                let is_serving = server.listed == Some(EndpointState::InService) && !server.is_excluded;
+                let is_in_service = server.listed == Some(EndpointState::InService);
+                let is_serving = is_in_service && !server.is_excluded;
                 prop_assert_eq!(seen.state == EndpointState::InService, is_serving);
             }
             prop_assert!(!server.was_listed || exclusions.is_known(replica));
--- a/src/policy/arrival.rs
+++ b/src/policy/arrival.rs
@@ -62,7 +62,7 @@
 }
 
 /// When a request's first token is due: by its class's latency objective, which grows with the
-/// request's own work and its prompt, but never after the client gives up.
+/// request's own work and its prompt, but never after the client stops waiting.
 fn first_token_due(arrival: &Arrival, class: &Class, now: Timestamp) -> Timestamp {
     let expected_work = arrival.expected_work.as_micros() as f64;
     let stretch = (class.first_token_objective_stretch * expected_work) as u64;
