--- a/src/ops/exclusions.rs
+++ b/src/ops/exclusions.rs
@@ -1,6 +1,6 @@
-//! Model servers that operators exclude, as an overlay on the endpoint list. The policy sees an
-//! excluded server as draining and knows of no exclusion; whatever the list says meanwhile, the
-//! overlay is applied to it. Stored state is [`super::maintenance_state`]'s.
+//! Model servers that operators exclude from routing, as an overlay on the endpoint list: it is
+//! applied to every update of the list, and the policy sees an excluded server as draining. The
+//! stored form belongs to [`super::maintenance_state`].
 
 mod stored;
 
@@ -60,7 +60,7 @@
 }
 
 impl Exclusions {
-    /// Starts with the exclusions of the process before.
+    /// Starts with the exclusions that the previous process stored.
     pub fn new(saved: impl IntoIterator<Item = (ReplicaId, Exclusion)>) -> Exclusions {
         Exclusions {
             exclusions: saved.into_iter().collect(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes in a list update, and changes its entries into what the policy is to see.
+    /// Processes an update of the list, and changes its entries into those that the policy sees.
     pub fn apply<'a>(
         &mut self,
         kind: EndpointListKind,
@@ -94,7 +94,7 @@
             .retain(|_, exclusion| exclusion.is_in_effect(now));
     }
 
-    /// Changes an entry into what the policy is to see.
+    /// Changes an entry into the one that the policy sees.
     fn apply_to(&self, entry: &mut ReplicaEntry) {
         let Some(exclusion) = self.exclusions.get(&entry.replica) else {
             return;
