--- /dev/null
+++ b/src/core/start_times/tests/first_lists.rs
@@ -0,0 +1,80 @@
+//! Lists that nothing precedes: the first one, a persisted one, one that replaces all servers.
+
+use super::*;
+
+/// Servers that join after a persisted list may have started at any time.
+#[test]
+fn persisted_list_bounds_nothing() {
+    let mut starts = StartTimes::default();
+    corrected(
+        &mut starts,
+        EndpointListKind::Persisted,
+        &[(1, Timestamp::ZERO)],
+        at(0),
+    );
+    let old = Timestamp::from_micros(BEGIN - HOUR);
+    assert_eq!(
+        corrected(&mut starts, EndpointListKind::Partial, &[(2, old)], at(1)),
+        [old]
+    );
+    assert_eq!(
+        corrected(&mut starts, EndpointListKind::Partial, &[(3, old)], at(2)),
+        [at(2)]
+    );
+}
+
+#[test]
+fn future_first_list_shifts_completely() {
+    let mut starts = StartTimes::default();
+    let list = [
+        (1, Timestamp::ZERO),
+        (2, at(3_600)),
+        (3, at(3_590)),
+        (4, Timestamp::from_micros(BEGIN - HOUR)),
+    ];
+    let expected = [
+        Timestamp::ZERO,
+        at(0),
+        Timestamp::from_micros(BEGIN - 10 * SECOND),
+        Timestamp::from_micros(BEGIN - 2 * HOUR),
+    ];
+    assert_eq!(
+        corrected(&mut starts, EndpointListKind::Complete, &list, at(0)),
+        expected
+    );
+    // later joins are by the same clock
+    assert_eq!(
+        corrected(
+            &mut starts,
+            EndpointListKind::Partial,
+            &[(5, at(3_604))],
+            at(5)
+        ),
+        [at(4)]
+    );
+}
+
+/// Another service's list, say: its servers have not all restarted at once.
+#[test]
+fn replaced_list_counts_as_first() {
+    let mut starts = warmed_up();
+    let others = [
+        (5, Timestamp::from_micros(BEGIN - 3 * HOUR)),
+        (6, Timestamp::from_micros(BEGIN - 2 * HOUR)),
+        (1, Timestamp::ZERO),
+    ];
+    assert_eq!(
+        corrected(&mut starts, EndpointListKind::Complete, &others, at(50)),
+        others.map(|o| o.1)
+    );
+    // one among those that are known is taken for a join
+    let one = [
+        (5, Timestamp::from_micros(BEGIN - 3 * HOUR)),
+        (6, Timestamp::from_micros(BEGIN - 2 * HOUR)),
+        (7, Timestamp::from_micros(BEGIN - HOUR)),
+    ];
+    assert_eq!(
+        corrected(&mut starts, EndpointListKind::Complete, &one, at(60))[2],
+        at(60)
+    );
+}
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -10,12 +10,13 @@
 //!   complete list is polled for: its answer could be minutes old, and another service's revisions
 //!   need not continue the old one's.
 
+mod failure_log;
 mod options;
 
 use std::time::Duration;
 
 use tokio::sync::mpsc;
-use tracing::{debug, info, warn};
+use tracing::{info, warn};
 
 use super::client::{DiscoveryClient, PollError, Query};
 use super::endpoint_list::EndpointList;
@@ -189,7 +190,7 @@
     async fn handle_failure(&mut self, error: PollError) -> Result<NextStep, CoreStopped> {
         let repeat_at_once = matches!(error, PollError::Timeout) && self.consecutive_failures == 0;
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        self.log_failure(&error);
+        failure_log::log_failed_poll(&self.address, &error, self.consecutive_failures);
         if repeat_at_once {
             tokio::time::sleep(self.timeout_retry_delay).await;
             return Ok(NextStep::Poll);
@@ -206,19 +207,6 @@
         Ok(NextStep::Poll)
     }
 
-    fn log_failure(&self, error: &PollError) {
-        let Watcher {
-            address,
-            consecutive_failures,
-            ..
-        } = self;
-        if is_warned_of(*consecutive_failures) {
-            warn!("discovery at {address}: {error} ({consecutive_failures} polls in a row failed)");
-        } else {
-            debug!("discovery at {address}: {error}");
-        }
-    }
-
     fn move_to(&mut self, address: String) {
         info!("discovery moved to {address}");
         self.address = address;
@@ -240,12 +228,3 @@
         .await
         .map_err(|_| CoreStopped)
 }
-
-/// Whether a failure is logged as a warning: the 1st, 2nd, 4th, 8th in a row and so on. An agent
-/// that refuses connections is polled every [`PUSH_RETRY_DELAY`] and would fill the log otherwise.
-fn is_warned_of(consecutive_failures: u32) -> bool {
-    consecutive_failures.is_power_of_two()
-}
-
-#[cfg(test)]
-mod tests;
