--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -90,10 +90,10 @@
             b.iter(|| {
                 k = (k + 1) % leaves.len();
                 now = now + Span::from_micros(3);
-                let hold = ledger
+                let reservation = ledger
                     .reserve(leaves[k], MicroTokens::from_tokens(500), now)
                     .unwrap();
-                black_box(ledger.settle(hold, MicroTokens::from_tokens(300), now))
+                black_box(ledger.settle(reservation, MicroTokens::from_tokens(300), now))
             });
         });
     }
