--- /dev/null
+++ b/examples/demo/router_process.rs
@@ -0,0 +1,98 @@
+//! The router as a process of its own, with a folder for its files.
+
+use std::io::{BufRead, BufReader, Lines};
+use std::path::{Path, PathBuf};
+use std::process::{Child, ChildStderr, Command, Stdio};
+
+use crate::DemoError;
+use crate::fleet::Fleet;
+
+/// The running router. The process and its folder end with this value, however the demonstration
+/// ends.
+pub struct RouterProcess {
+    child: Child,
+    folder: PathBuf,
+    /// Where the platform's protocol is served.
+    pub platform_address: String,
+    /// Where the public chat and batch APIs are served.
+    pub public_address: String,
+}
+
+impl Drop for RouterProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+impl RouterProcess {
+    /// Starts the router on a fleet; it is ready once both front ends have logged their addresses.
+    pub fn start(program: &str, fleet: &Fleet) -> Result<RouterProcess, DemoError> {
+        let folder = std::env::temp_dir().join(format!("stilespan-demo-{}", std::process::id()));
+        write_files(&folder, fleet)?;
+        let mut child = spawn(program, &folder)?;
+        let log = child.stderr.take();
+        let mut router = RouterProcess {
+            child,
+            folder,
+            platform_address: String::new(),
+            public_address: String::new(),
+        };
+        let mut lines = BufReader::new(log.ok_or("no log")?).lines();
+        router.read_addresses(&mut lines)?;
+        // read on, so that the router never waits for its log
+        std::thread::spawn(move || lines.for_each(drop));
+        Ok(router)
+    }
+
+    fn read_addresses(&mut self, log: &mut Lines<BufReader<ChildStderr>>) -> Result<(), DemoError> {
+        while self.platform_address.is_empty() || self.public_address.is_empty() {
+            let line = log.next().ok_or("the router ended at its start")??;
+            if let Some((_, address)) = line.split_once("serving on ") {
+                self.platform_address = address.trim().to_string();
+            }
+            if let Some((_, address)) = line.split_once("batch front on ") {
+                self.public_address = address.trim().to_string();
+            }
+        }
+        Ok(())
+    }
+
+    /// Asks the router by SIGTERM for a graceful shutdown, and waits for its end; whether it ended
+    /// with success.
+    pub fn shut_down(&mut self) -> Result<bool, DemoError> {
+        let kill = Command::new("kill")
+            .args(["-TERM", &self.child.id().to_string()])
+            .status()?;
+        let status = self.child.wait()?;
+        println!("--- SIGTERM: the router answered all that it had taken and ended with {status}");
+        Ok(kill.success() && status.success())
+    }
+}
+
+/// Writes the inventory and the settings of the batch front end.
+fn write_files(folder: &Path, fleet: &Fleet) -> Result<(), DemoError> {
+    std::fs::create_dir_all(folder)?;
+    std::fs::write(folder.join("hosts.csv"), fleet.inventory())?;
+    let batch = format!(
+        "listen = \"127.0.0.1:0\"\nspool = {:?}\ninventory = \"hosts.csv\"\n",
+        folder.join("spool")
+    );
+    std::fs::write(folder.join("batch.toml"), batch)?;
+    Ok(())
+}
+
+fn spawn(program: &str, folder: &Path) -> Result<Child, DemoError> {
+    let child = Command::new(program)
+        .args(["serve", "--config", "examples/config.json"])
+        .args(["--edge", "examples/edge.toml"])
+        .arg("--batch")
+        .arg(folder.join("batch.toml"))
+        .env("GW_LISTEN", "127.0.0.1:0")
+        .env_remove("GW_CONFIG")
+        .env_remove("GW_DISCOVERY")
+        .stderr(Stdio::piped())
+        .spawn()?;
+    Ok(child)
+}
