--- a/crates/inherited_listener/src/lib.rs
+++ b/crates/inherited_listener/src/lib.rs
@@ -5,6 +5,7 @@
 //! descriptor. The crate `listenfd` is no replacement, because it reads systemd's variables and
 //! doesn't check the socket.
 #![warn(missing_docs)]
+#![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used))]
 
 use std::net::TcpListener;
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
--- a/crates/simulator_adapter/src/main.rs
+++ b/crates/simulator_adapter/src/main.rs
@@ -1,5 +1,6 @@
 //! The program `simulator-adapter`: the adapter on standard input and output.
 #![forbid(unsafe_code)]
+#![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used))]
 
 use std::io;
 use std::process::ExitCode;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,6 @@
 //! The router's command line.
 #![forbid(unsafe_code)]
+#![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used))]
 
 use std::path::PathBuf;
 use std::process::ExitCode;
