--- a/src/batch/line/request.rs
+++ b/src/batch/line/request.rs
@@ -11,7 +11,7 @@
 use crate::core::{Payload, Request, RequestAttributes};
 use crate::edge::ChatBody;
 use crate::interface::stable_hash;
-use crate::net::upstream::payload;
+use crate::net::upstream::UpstreamRequest;
 
 /// The token limit of an answer whose line sets none.
 const DEFAULT_MAX_OUTPUT_TOKENS: u32 = 500;
@@ -101,14 +101,19 @@
         let chat = ChatBody::from_object(body.clone());
         // model servers answer in streams, of which the result file gets the complete answer
         body.insert("stream".into(), true.into());
-        let body = Bytes::from(Value::Object(body).to_string());
-        let payload = payload("POST", endpoint, Some(trace_id), Some(trace_id), body);
+        let upstream_request = UpstreamRequest {
+            method: "POST",
+            target: endpoint,
+            trace_id: Some(trace_id),
+            idempotency_key: Some(trace_id),
+            body: Bytes::from(Value::Object(body).to_string()),
+        };
         Ok(LineRequest {
             prompt_tokens,
             shared_prefix,
             max_output_tokens,
             model,
-            payload,
+            payload: upstream_request.into_payload(),
             chat,
         })
     }
--- a/src/edge/submissions.rs
+++ b/src/edge/submissions.rs
@@ -14,7 +14,7 @@
 use crate::api::ApiError;
 use crate::core::{Answer, Chunk, PendingRequest, Request, RequestAttributes};
 use crate::interface::Span;
-use crate::net::upstream::payload;
+use crate::net::upstream::UpstreamRequest;
 use crate::routing::{RouteExhausted, RouteStep, Submission, SubmissionEnd};
 use crate::spend::BudgetExceeded;
 
@@ -159,10 +159,16 @@
         };
         let chat = &self.request.chat;
         let body = chat.forwarded_body(&model.name, max_output_tokens).into();
-        let trace = self.request.trace.id();
+        let upstream_request = UpstreamRequest {
+            method: "POST",
+            target: CHAT_PATH,
+            trace_id: Some(self.request.trace.id()),
+            idempotency_key: None,
+            body,
+        };
         Request {
             attributes,
-            payload: payload("POST", CHAT_PATH, Some(trace), None, body),
+            payload: upstream_request.into_payload(),
             client: self.request.client.clone(),
         }
     }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -28,7 +28,7 @@
 use crate::ops::metrics::Metrics;
 use pool::Pool;
 
-pub use payload::{UpstreamRequest, payload};
+pub use payload::UpstreamRequest;
 
 /// How long after its connect timeout an attempt may still start: the time that the actors may take
 /// between the connection and the first byte. An attempt that is later, as after the process was
--- a/src/net/upstream/payload.rs
+++ b/src/net/upstream/payload.rs
@@ -40,21 +40,3 @@
         }
     }
 }
-
-/// The payload of a request by position, for callers that have not moved to [`UpstreamRequest`].
-pub fn payload(
-    method: &str,
-    target: &str,
-    trace_id: Option<&str>,
-    idempotency_key: Option<&str>,
-    body: Bytes,
-) -> Payload {
-    UpstreamRequest {
-        method,
-        target,
-        trace_id,
-        idempotency_key,
-        body,
-    }
-    .into_payload()
-}
