--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -49,7 +49,7 @@
                 None => {}
             }
         };
-        let mut body = Body::new(head.framing(false)?);
+        let mut body = Body::new(head.request_framing()?);
         let body = body
             .read_to_end(&mut buffer, &mut stream, MAX_BODY_BYTES)
             .await?;
--- a/src/batch/http_api/form.rs
+++ b/src/batch/http_api/form.rs
@@ -35,7 +35,7 @@
         let store = &context.store;
         let max_bytes = store.max_file_bytes();
         let max_body_bytes = max_bytes + MAX_FIELD_BYTES as u64;
-        if matches!(head.framing(false)?, Framing::Length(length) if length > max_body_bytes) {
+        if matches!(head.request_framing()?, Framing::Length(length) if length > max_body_bytes) {
             return Err(StoreError::TooLarge { max_bytes }.into());
         }
         self.connection.send_continue(head).await?;
--- a/src/batch/http_api/mod.rs
+++ b/src/batch/http_api/mod.rs
@@ -56,7 +56,7 @@
             NextRequest::Drop => return,
         };
         session.start_request();
-        let mut body = match head.framing(false) {
+        let mut body = match head.request_framing() {
             Ok(framing) => Body::new(framing),
             Err(e) => return session.reject_unreadable(&e).await,
         };
--- a/src/net/admin/connection.rs
+++ b/src/net/admin/connection.rs
@@ -64,7 +64,7 @@
             return Err(HttpError::ConnectionClosed);
         }
     };
-    Body::new(head.framing(false)?)
+    Body::new(head.request_framing()?)
         .read_to_end(buffer, stream, MAX_BODY_BYTES)
         .await?;
     Ok(head)
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -170,7 +170,7 @@
     /// Answers a request. All of its head is checked before its body is read, so that no memory is
     /// reserved for requests that can't be served.
     async fn handle_request(&mut self, head: &Head) -> Result<NextStep, RequestError> {
-        let framing = head.framing(false)?;
+        let framing = head.request_framing()?;
         let mut body = Body::new(framing);
         if matches!(framing, Framing::Length(length) if length > MAX_BODY_BYTES as u64) {
             return Err(RequestError::rejected(Reply::too_large(), body));
--- a/src/net/http/head.rs
+++ b/src/net/http/head.rs
@@ -59,9 +59,25 @@
         }
     }
 
-    /// How the body ends. Ambiguous lengths are an error: the peer may split the messages at another
-    /// place.
-    pub fn framing(&self, is_response: bool) -> Result<Framing, HttpError> {
+    /// How a request's body ends: one without a length has none. Ambiguous lengths are an error: the
+    /// peer may split the messages at another place.
+    pub fn request_framing(&self) -> Result<Framing, HttpError> {
+        Ok(self.declared_framing()?.unwrap_or(Framing::Length(0)))
+    }
+
+    /// How a response's body ends: one without a length ends with the connection. Ambiguous lengths
+    /// are an error, as in a request.
+    pub fn response_framing(&self) -> Result<Framing, HttpError> {
+        let undeclared = if matches!(self.status, 204 | 304) {
+            Framing::Length(0)
+        } else {
+            Framing::UntilClose
+        };
+        Ok(self.declared_framing()?.unwrap_or(undeclared))
+    }
+
+    /// How the body ends by the headers; `None` where they don't say.
+    fn declared_framing(&self) -> Result<Option<Framing>, HttpError> {
         let mut length = None;
         let mut chunked = false;
         for (name, value) in &self.headers {
@@ -82,12 +98,9 @@
         }
         match (chunked, length) {
             (true, Some(_)) => Err(HttpError::Malformed("both a length and chunks")),
-            (true, None) => Ok(Framing::Chunked),
-            (false, Some(bytes)) => Ok(Framing::Length(bytes)),
-            (false, None) if is_response && !matches!(self.status, 204 | 304) => {
-                Ok(Framing::UntilClose)
-            }
-            (false, None) => Ok(Framing::Length(0)),
+            (true, None) => Ok(Some(Framing::Chunked)),
+            (false, Some(bytes)) => Ok(Some(Framing::Length(bytes))),
+            (false, None) => Ok(None),
         }
     }
 }
--- a/src/net/http/response.rs
+++ b/src/net/http/response.rs
@@ -14,7 +14,7 @@
     max_bytes: usize,
 ) -> Result<(Head, Bytes), HttpError> {
     let head = read_response_head(buffer, from).await?;
-    let mut body = Body::new(head.framing(true)?);
+    let mut body = Body::new(head.response_framing()?);
     let bytes = body.read_to_end(buffer, from, max_bytes).await?;
     Ok((head, bytes))
 }
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -21,7 +21,7 @@
     /// Reads the head of a response. The wait for its first byte is the caller's to limit.
     pub(super) async fn read_head(&mut self) -> Result<FramedHead, HttpError> {
         let head = http::read_response_head(&mut self.buffer, &mut self.stream).await?;
-        let framing = head.framing(true)?;
+        let framing = head.response_framing()?;
         Ok(FramedHead { head, framing })
     }
 }
--- a/tests/common/client.rs
+++ b/tests/common/client.rs
@@ -50,7 +50,7 @@
         let head = read_response_head(&mut self.buffer, &mut self.stream)
             .await
             .ok()?;
-        let mut body = Body::new(head.framing(true).unwrap());
+        let mut body = Body::new(head.response_framing().unwrap());
         let mut text = Vec::new();
         let whole = loop {
             match body.next(&mut self.buffer, &mut self.stream).await {
--- a/tests/common/persistent.rs
+++ b/tests/common/persistent.rs
@@ -89,7 +89,7 @@
         };
         let head = read_response_head(&mut self.buffer, &mut self.stream).await?;
         request.answer_began = true;
-        let mut body = Body::new(head.framing(true)?);
+        let mut body = Body::new(head.response_framing()?);
         while body
             .next(&mut self.buffer, &mut self.stream)
             .await?
--- a/tests/common/scripted_peer.rs
+++ b/tests/common/scripted_peer.rs
@@ -95,7 +95,7 @@
             None => {}
         }
     };
-    let mut body = Body::new(head.framing(false).ok()?);
+    let mut body = Body::new(head.request_framing().ok()?);
     let bytes = body.read_to_end(buffer, stream, 1 << 20).await.ok()?;
     Some((head, bytes.to_vec()))
 }
