--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -12,7 +12,7 @@
 
 use fake_servers::{ModelServer, RequestLog, ServerOptions};
 use serde_json::{Value, json};
-use stilespan::net::http::{Buffer, read_response};
+use stilespan::net::http::{Buffer, Response, read_response};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -206,7 +206,8 @@
         body.len()
     );
     stream.write_all(text.as_bytes()).await?;
-    let (head, body) = read_response(&mut Buffer::default(), &mut stream, 1 << 20).await?;
+    let Response { head, body } =
+        read_response(&mut Buffer::default(), &mut stream, 1 << 20).await?;
     let mut out = format!("HTTP/1.1 {}\n", head.status);
     let telling = |name: &str| {
         ["x-", "ratelimit", "retry-after"]
--- a/src/commands/budgets.rs
+++ b/src/commands/budgets.rs
@@ -2,14 +2,12 @@
 
 use std::time::Duration;
 
-use bytes::Bytes;
 use serde_json::Value;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 use super::{BudgetsError, CommandError};
-use crate::net::http::read_response;
-use crate::net::http::{self, Buffer};
+use crate::net::http::{self, Buffer, Response, read_response};
 use crate::net::stream::Stream;
 
 /// The most bytes of an answer; each node of a large tree has a line in it.
@@ -17,12 +15,6 @@
 /// How long a router may take to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer of the router.
-struct Answer {
-    status: u16,
-    body: Bytes,
-}
-
 /// Gets the budgets of the key in `STILESPAN_KEY` from the router at an address and prints them.
 pub fn budgets(address: &str) -> Result<(), CommandError> {
     let key = std::env::var("STILESPAN_KEY").map_err(|_| CommandError::NoKeyVariable)?;
@@ -44,35 +36,32 @@
     Ok(())
 }
 
-async fn fetch_in_time(address: &str, key: &str) -> Result<Answer, BudgetsError> {
+async fn fetch_in_time(address: &str, key: &str) -> Result<Response, BudgetsError> {
     timeout(ANSWER_TIMEOUT, fetch(address, key))
         .await
         .unwrap_or(Err(BudgetsError::TimedOut(ANSWER_TIMEOUT)))
 }
 
-async fn fetch(address: &str, key: &str) -> Result<Answer, BudgetsError> {
+async fn fetch(address: &str, key: &str) -> Result<Response, BudgetsError> {
     let mut stream = Stream::new(TcpStream::connect(address).await?);
     let request = format!(
         "GET /v1/budgets HTTP/1.1\r\nHost: {address}\r\nAuthorization: Bearer {key}\r\n\
          Connection: close\r\n\r\n"
     );
     stream.write_all(request.as_bytes()).await?;
-    let (head, body) = read_response(&mut Buffer::default(), &mut stream, MAX_ANSWER_BYTES).await?;
-    Ok(Answer {
-        status: head.status,
-        body,
-    })
+    let mut buffer = Buffer::default();
+    Ok(read_response(&mut buffer, &mut stream, MAX_ANSWER_BYTES).await?)
 }
 
 /// The JSON of an answer that gives the budgets.
-fn parse(answer: Answer) -> Result<Value, BudgetsError> {
+fn parse(answer: Response) -> Result<Value, BudgetsError> {
     let body: Value = serde_json::from_slice(&answer.body).map_err(BudgetsError::Json)?;
-    if answer.status == 200 {
+    if answer.head.status == 200 {
         return Ok(body);
     }
     let message = body.pointer("/error/message").and_then(Value::as_str);
     Err(BudgetsError::Rejected {
-        status: answer.status,
+        status: answer.head.status,
         message: message.unwrap_or("no message").into(),
     })
 }
--- a/src/commands/budgets/tests.rs
+++ b/src/commands/budgets/tests.rs
@@ -1,8 +1,14 @@
+use bytes::Bytes;
+
 use super::*;
+use crate::net::http::Head;
 
-fn answer(status: u16, body: &'static str) -> Answer {
-    Answer {
-        status,
+fn answer(status: u16, body: &'static str) -> Response {
+    Response {
+        head: Head {
+            status,
+            ..Head::default()
+        },
         body: Bytes::from_static(body.as_bytes()),
     }
 }
--- a/src/net/http/response.rs
+++ b/src/net/http/response.rs
@@ -7,16 +7,25 @@
 use super::parse::take_response_head;
 use super::{Body, Buffer, Head, HttpError, PARTIAL_MESSAGE_TIMEOUT};
 
+/// A complete response.
+#[derive(Clone, Debug)]
+pub struct Response {
+    /// The head.
+    pub head: Head,
+    /// The body, without its framing.
+    pub body: Bytes,
+}
+
 /// Reads one response completely, up to `max_bytes` of body. The caller limits the time.
 pub async fn read_response(
     buffer: &mut Buffer,
     from: &mut (impl AsyncRead + Unpin),
     max_bytes: usize,
-) -> Result<(Head, Bytes), HttpError> {
+) -> Result<Response, HttpError> {
     let head = read_response_head(buffer, from).await?;
     let mut body = Body::new(head.response_framing()?);
-    let bytes = body.read_to_end(buffer, from, max_bytes).await?;
-    Ok((head, bytes))
+    let body = body.read_to_end(buffer, from, max_bytes).await?;
+    Ok(Response { head, body })
 }
 
 /// Reads a response's head. The wait for its first byte is the caller's to limit; the rest must
