--- a/examples/demo/api_client.rs
+++ b/examples/demo/api_client.rs
@@ -73,7 +73,7 @@
             body.len()
         );
         stream.write_all(request.as_bytes()).await?;
-        let (head, body) =
+        let Response { head, body } =
             read_response(&mut Buffer::default(), &mut stream, MAX_BODY_BYTES).await?;
         Ok(Response::new(&head, &body))
     }
