--- a/src/core/actor/attempts.rs
+++ b/src/core/actor/attempts.rs
@@ -9,14 +9,28 @@
 use super::timers::Timer;
 use super::{CLIENT_ANSWER_MARGIN, Core};
 use crate::core::in_flight_attempt::{CancelGuard, InFlightAttempt};
+use crate::core::in_flight_request::InFlightRequest;
 use crate::core::request_state::{RequestState, StateName};
 use crate::core::{Answer, Attempt, AttemptGate, AttemptId, AttemptResult, Chunk, UpstreamCommand};
-use crate::interface::{AttemptEnded, Event, Outcome, ReplicaId, RequestId, Span};
+use crate::interface::{AttemptEnded, Event, Outcome, ReplicaId, RequestId, Span, Timestamp};
 
 /// A replica has no upstream, or the upstream's mailbox is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct UpstreamUnavailable;
 
+/// When the router stops waiting for the first token of an attempt that is ordered now.
+fn attempt_deadline(
+    in_flight: &InFlightRequest,
+    timeout: Option<Span>,
+    now: Timestamp,
+) -> Timestamp {
+    let latest = in_flight.expires_at - CLIENT_ANSWER_MARGIN;
+    match timeout {
+        Some(timeout) => (now + timeout).min(latest),
+        None => latest,
+    }
+}
+
 impl Core {
     /// Orders an attempt at a replica, at the time of the step. `timeout`: how long to wait for its
     /// first token at most.
@@ -34,11 +48,7 @@
         let previous_attempts = in_flight.history.total_attempts();
         let number = in_flight.history.next_attempt();
         let (cancel_guard, cancelled) = CancelGuard::new();
-        let latest_deadline = in_flight.expires_at - CLIENT_ANSWER_MARGIN;
-        let deadline = match timeout {
-            Some(timeout) => (now + timeout).min(latest_deadline),
-            None => latest_deadline,
-        };
+        let deadline = attempt_deadline(in_flight, timeout, now);
         let latest_start = in_flight
             .history
             .latest_start(at, self.attempt_start_timeout);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -123,7 +123,8 @@
             .map(|class| class.first_token_objective.as_secs_f64())
             .fold(0.0, f64::max);
         let burst = (rate * longest_objective).max(1.0);
-        credit.requests = (credit.requests + rate * (now - credit.as_of).as_secs_f64()).min(burst);
+        let refill = rate * (now - credit.as_of).as_secs_f64();
+        credit.requests = (credit.requests + refill).min(burst);
         credit.as_of = now;
         if credit.requests >= 1.0 {
             credit.requests -= 1.0;
@@ -140,21 +141,18 @@
         self.grow(now);
         self.recent_values.push_front(value);
         self.recent_values.truncate(COMPARED_ARRIVALS);
-        let count = |matches: fn(&f64, &f64) -> bool| {
-            self.recent_values
-                .iter()
-                .filter(|recent| matches(recent, &value))
-                .count() as f64
-        };
-        let above = count(f64::gt) + uniform * count(f64::eq);
-        above < self.admitted_fraction * self.recent_values.len() as f64
+        let higher = self.recent_values.iter().filter(|recent| **recent > value);
+        let equal = self.recent_values.iter().filter(|recent| **recent == value);
+        let rank = higher.count() as f64 + uniform * equal.count() as f64;
+        rank < self.admitted_fraction * self.recent_values.len() as f64
     }
 
     /// Whether a request that was admitted before still is at this value for its cost; never one
     /// below all of the latest arrivals.
     pub(super) fn still_admits(&self, value: f64) -> bool {
-        let above = self.recent_values.iter().filter(|recent| **recent > value);
-        (above.count() as f64) < self.admitted_fraction * self.recent_values.len() as f64
+        let higher = self.recent_values.iter().filter(|recent| **recent > value);
+        let rank = higher.count() as f64;
+        rank < self.admitted_fraction * self.recent_values.len() as f64
     }
 
     /// Grows the admitted fraction with time, and not with outcomes, of which there are few while
@@ -162,9 +160,8 @@
     fn grow(&mut self, now: Timestamp) {
         let objectives = (now - self.last_growth).as_secs_f64() / self.shortest_objective;
         self.last_growth = now;
-        self.admitted_fraction = (self.admitted_fraction
-            + objectives / RECOVERY_OBJECTIVES * self.admitted_fraction.max(0.5))
-        .min(1.0);
+        let growth = objectives / RECOVERY_OBJECTIVES * self.admitted_fraction.max(0.5);
+        self.admitted_fraction = (self.admitted_fraction + growth).min(1.0);
     }
 
     /// The time until all requests are admitted again, if none misses its objective.
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -8,7 +8,7 @@
 use super::measurements::REPLICA_SAMPLE_WEIGHT;
 use super::replica::AwaitedFirstToken;
 use super::replica_table::ReplicaIndex;
-use crate::interface::{Action, Arrival, AttemptEnded, Outcome, RequestId, Span};
+use crate::interface::{Action, Arrival, AttemptEnded, Outcome, ReplicaId, RequestId, Span};
 
 /// A first token is overdue at this multiple of its predicted time. Value: a prefill model of a
 /// healthy replica errs by less.
@@ -62,18 +62,20 @@
             replica: replica_id,
             timeout,
         });
+        self.remember_prompt(&arrival, replica_id);
+    }
+
+    /// Remembers that a replica will have the prompt of this request cached.
+    fn remember_prompt(&mut self, arrival: &Arrival, replica: ReplicaId) {
         if let Some(session) = arrival.session {
             let last_turn = LastTurn {
-                replica: replica_id,
+                replica,
                 prompt_tokens: arrival.prompt_tokens,
             };
             self.last_turns.insert(session, last_turn);
         }
         if let Some(prefix) = arrival.prefix {
-            let sent = SentPrefix {
-                prefix,
-                replica: replica_id,
-            };
+            let sent = SentPrefix { prefix, replica };
             self.sent_prefixes.insert(sent, ());
         }
     }
@@ -120,7 +122,8 @@
         let attempt = *attempt;
         self.remove_awaited(id, number, &attempt);
         let replica = &mut self.replicas[attempt.replica];
-        (replica.has_answered, replica.consecutive_failures) = (true, 0);
+        replica.has_answered = true;
+        replica.consecutive_failures = 0;
         // where the fleet has slack, one slow replica without it is no reason to shed load
         let step = self
             .decode_step(attempt.replica)
@@ -176,11 +179,10 @@
     /// An attempt's first token is no longer awaited.
     fn remove_awaited(&mut self, id: RequestId, number: usize, attempt: &Attempt) {
         let replica = &mut self.replicas[attempt.replica];
-        if let Some(position) = replica
-            .awaited
-            .iter()
-            .position(|awaited| awaited.request == id && awaited.attempt == number)
-        {
+        let mut awaited = replica.awaited.iter();
+        let position =
+            awaited.position(|awaited| awaited.request == id && awaited.attempt == number);
+        if let Some(position) = position {
             replica.awaited.remove(position);
             replica.awaited_tokens = (replica.awaited_tokens - attempt.uncached_tokens).max(0.0);
         }
--- a/src/policy/estimators/prefill_model.rs
+++ b/src/policy/estimators/prefill_model.rs
@@ -70,7 +70,8 @@
     /// The model through the samples and through `prior`, which counts as `PRIOR_SAMPLES` around
     /// `typical_tokens`.
     pub fn model(&self, prior: LinearModel, typical_tokens: f64) -> LinearModel {
-        let (mut all, typical_tokens) = (*self, typical_tokens.max(1.0));
+        let mut all = *self;
+        let typical_tokens = typical_tokens.max(1.0);
         all.accumulate(1.0, PRIOR_SAMPLES / 2.0, 0.0, prior.seconds(0.0));
         all.accumulate(
             1.0,
--- a/src/policy/estimators/replica_load.rs
+++ b/src/policy/estimators/replica_load.rs
@@ -54,7 +54,8 @@
         fleet: &mut FleetLoadMeans,
         now: Timestamp,
     ) {
-        (self.answered_at, self.requested_at) = (now, Timestamp::ZERO);
+        self.answered_at = now;
+        self.requested_at = Timestamp::ZERO;
         let Some(report) = report else { return };
         let (Some(utilization), Some(throughput)) = (
             readable(report.utilization),
@@ -67,7 +68,8 @@
         if let Some(errors) = readable(report.errors_per_second) {
             self.error_rate = errors / (errors + throughput).max(1.0);
         }
-        (self.utilization, self.throughput) = (utilization, throughput);
+        self.utilization = utilization;
+        self.throughput = throughput;
         self.reported_at = now;
     }
 
--- a/src/policy/estimators/throughput.rs
+++ b/src/policy/estimators/throughput.rs
@@ -39,6 +39,7 @@
     kinds: FxHashMap<u32, PooledModel>,
 }
 
+/// A model over the samples of several replicas, for a replica of size 1.
 #[derive(Clone, Copy, Debug)]
 struct PooledModel {
     fit: LinearFit,
@@ -132,22 +133,24 @@
 
     /// The model of a replica of size 1.
     fn unit_model(&self, now: Timestamp) -> LinearModel {
-        self.fleet.model.decayed_towards(
-            self.initial.scaled(self.mean_size),
-            (now - self.fleet.updated_at).as_secs_f64() / self.decay_seconds,
-        )
+        let initial = self.initial.scaled(self.mean_size);
+        let age = self.age(&self.fleet, now);
+        self.fleet.model.decayed_towards(initial, age)
+    }
+
+    /// The age of a model's last sample, in times of decay to 1/e.
+    fn age(&self, pool: &PooledModel, now: Timestamp) -> f64 {
+        (now - pool.updated_at).as_secs_f64() / self.decay_seconds
     }
 
     /// The model of a replica of this kind and size of which nothing else is known.
     pub fn model_for(&self, kind: u32, size: f64, now: Timestamp) -> LinearModel {
         let fleet = self.unit_model(now);
-        let kind = self.kinds.get(&kind).map_or(fleet, |pool| {
-            pool.model.decayed_towards(
-                fleet,
-                (now - pool.updated_at).as_secs_f64() / self.decay_seconds,
-            )
-        });
-        kind.scaled(1.0 / size)
+        let model = match self.kinds.get(&kind) {
+            Some(pool) => pool.model.decayed_towards(fleet, self.age(pool, now)),
+            None => fleet,
+        };
+        model.scaled(1.0 / size)
     }
 }
 
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -30,26 +30,19 @@
         candidates: &[Candidate],
         actions: &mut Vec<Action>,
     ) -> Option<ReplicaIndex> {
-        let recent = Span::from_secs_f64(RECENT_OBJECTIVES * self.admission.shortest_objective());
-        let report_wait =
-            Span::from_secs_f64(REPORT_WAIT_FRACTION * self.admission.shortest_objective());
+        let objective = self.admission.shortest_objective();
+        let recent = Span::from_secs_f64(RECENT_OBJECTIVES * objective);
+        let report_wait = Span::from_secs_f64(REPORT_WAIT_FRACTION * objective);
         let candidates = &candidates[..candidates.len().min(CHECKED_CANDIDATES)];
         let request = self.requests.get_mut(&id)?;
         if request.candidates.is_empty() {
             request.candidates_since = self.now;
             request.candidate_rounds += 1;
-            for candidate in candidates {
-                request.candidates.push(candidate.replica);
-                let replica = &mut self.replicas[candidate.replica];
-                if !replica.has_recent_data(self.now, recent) && !replica.load.is_awaited(self.now)
-                {
-                    replica.load.mark_requested(self.now);
-                    actions.push(Action::CheckHealth {
-                        replica: replica.entry.replica,
-                    });
-                }
-            }
+            let replicas = candidates.iter().map(|candidate| candidate.replica);
+            request.candidates.extend(replicas);
+            self.request_reports(candidates, recent, actions);
         }
+        let request = self.requests.get_mut(&id)?;
         let is_known = |candidate: &Candidate| {
             self.replicas[candidate.replica].has_recent_data(self.now, recent)
         };
@@ -63,6 +56,24 @@
         known.or(fallback).map(|candidate| candidate.replica)
     }
 
+    /// Starts health checks of the candidates without recent measurements.
+    fn request_reports(
+        &mut self,
+        candidates: &[Candidate],
+        recent: Span,
+        actions: &mut Vec<Action>,
+    ) {
+        for candidate in candidates {
+            let replica = &mut self.replicas[candidate.replica];
+            if !replica.has_recent_data(self.now, recent) && !replica.load.is_awaited(self.now) {
+                replica.load.mark_requested(self.now);
+                actions.push(Action::CheckHealth {
+                    replica: replica.entry.replica,
+                });
+            }
+        }
+    }
+
     /// A health check ended.
     pub(super) fn on_health_check_ended(&mut self, end: HealthCheckEnded) {
         let Some(&index) = self.replica_index.get(&end.replica) else {
--- a/src/policy/measurements.rs
+++ b/src/policy/measurements.rs
@@ -61,7 +61,8 @@
     /// Records a first-token time of a replica.
     fn record_prefill(&mut self, index: ReplicaIndex, tokens: f64, seconds: f64) {
         let replica = &mut self.replicas[index];
-        let (kind, size) = (replica.entry.machine_kind, replica.size());
+        let kind = replica.entry.machine_kind;
+        let size = replica.size();
         let sample = PrefillSample {
             kind,
             size,
@@ -76,7 +77,8 @@
         let prior = self.throughput.model_for(kind, size, self.now);
         replica.prefill_model = replica.prefill_fit.model(prior, self.typical_tokens);
         replica.measured_at = self.now;
-        (replica.has_answered, replica.consecutive_failures) = (true, 0);
+        replica.has_answered = true;
+        replica.consecutive_failures = 0;
     }
 
     /// Records the seconds of a complete stream from a replica.
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -37,13 +37,13 @@
             self.update_entry(entry);
         }
         self.maturity.rebuild(&mut self.replicas, self.now);
-        self.rebuild_ring();
+        self.update_fleet();
         self.complete_unservable(actions);
     }
 
-    /// Updates what is derived from the replicas in service as a whole: sizes, the ring, and when
+    /// Updates the state that is derived from all replicas in service: their sizes, the ring, and when
     /// all of them are warm.
-    fn rebuild_ring(&mut self) {
+    fn update_fleet(&mut self) {
         let in_service = || {
             self.replicas
                 .enumerate()
@@ -82,13 +82,16 @@
             return false;
         };
         let model = request.arrival.model;
-        let mut eligible = self.replicas.indices().filter(|&index| {
+        if model == 0 && self.replicas.is_empty() {
+            return true;
+        }
+        let is_eligible = |index: ReplicaIndex| {
             let replica = &self.replicas[index];
-            replica.is_in_service() && replica.serves(model)
-        });
-        (model == 0 && self.replicas.is_empty())
-            || eligible
-                .any(|index| !self.is_warming_up(index) || request.slow_start_slot == Some(index))
+            replica.is_in_service()
+                && replica.serves(model)
+                && (!self.is_warming_up(index) || request.slow_start_slot == Some(index))
+        };
+        self.replicas.indices().any(is_eligible)
     }
 
     /// Takes over a replica's entry. One that is new or has restarted loses what was measured.
@@ -158,15 +161,12 @@
     /// ever listed.
     fn vacant_index(&mut self) -> Option<ReplicaIndex> {
         let has_attempts = |index: ReplicaIndex| {
-            self.requests.values().any(|request| {
-                let mut attempts = request.attempts.iter();
-                attempts.any(|attempt| attempt.replica == index)
-            })
+            let mut attempts = self.requests.values().flat_map(|request| &request.attempts);
+            attempts.any(|attempt| attempt.replica == index)
         };
-        let vacant = self
-            .replicas
-            .indices()
-            .find(|&index| !self.replicas[index].is_present() && !has_attempts(index));
+        let is_vacant =
+            |&index: &ReplicaIndex| !self.replicas[index].is_present() && !has_attempts(index);
+        let vacant = self.replicas.indices().find(is_vacant);
         if let Some(index) = vacant {
             self.replica_index
                 .remove(&self.replicas[index].entry.replica);
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -2,6 +2,7 @@
 //! longer come in time. Requests that are sent to a replica leave it in `dispatch`.
 
 use super::balancer::Balancer;
+use super::replica_table::ReplicaIndex;
 use super::request_queue::QueueKey;
 use crate::interface::{Action, RequestId, Span};
 
@@ -57,21 +58,20 @@
     /// latter a session's long prompt would be rejected though its replica has little of it left to
     /// prefill.
     fn misses_deadline(&self, key: QueueKey) -> bool {
-        let Some(arrival) = self.requests.get(&key.request).map(|r| &r.arrival) else {
+        let Some(request) = self.requests.get(&key.request) else {
             return true;
         };
+        let arrival = &request.arrival;
         let is_late = |seconds: f64| self.now + Span::from_secs_f64(seconds) > key.due;
-        let cached_at = self
-            .likely_cached_at(arrival)
-            .into_iter()
-            .flatten()
-            .filter(|&replica| self.replicas[replica].is_in_service());
-        is_late(self.uncached_first_token_seconds(arrival))
-            && cached_at
-                .map(|replica| {
-                    self.prefill_model(replica)
-                        .seconds(self.uncached_tokens(arrival, Some(replica)))
-                })
-                .all(is_late)
+        if !is_late(self.uncached_first_token_seconds(arrival)) {
+            return false;
+        }
+        let is_late_at = |replica: ReplicaIndex| {
+            let uncached_tokens = self.uncached_tokens(arrival, Some(replica));
+            is_late(self.prefill_model(replica).seconds(uncached_tokens))
+        };
+        let cached_at = self.likely_cached_at(arrival).into_iter().flatten();
+        let mut in_service = cached_at.filter(|&replica| self.replicas[replica].is_in_service());
+        in_service.all(is_late_at)
     }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -72,7 +72,8 @@
         if failed && attempts_left && self.now < request.due && repeatable {
             let slot = self.draw_slow_start_slot();
             if let Some(request) = self.requests.get_mut(&id) {
-                (request.slow_start_slot, request.candidate_rounds) = (slot, 0);
+                request.slow_start_slot = slot;
+                request.candidate_rounds = 0;
             }
             self.enqueue(id);
             if !self.has_eligible_replica(id) {
