--- /dev/null
+++ b/src/batch/http_api/uploads.rs
@@ -0,0 +1,148 @@
+//! `/v1/uploads`: resumable uploads, whose parts are appended by offset.
+
+use std::time::Duration;
+
+use super::errors::RequestError;
+use super::idempotency::Claim;
+use super::pagination::{query, query_value};
+use super::response::Response;
+use super::routes::no_such_method;
+use super::session::Session;
+use crate::api::{ApiError, Reply};
+use crate::batch::store::{FileInfo, NewFile, StoreError};
+use crate::net::http::{Body, Head};
+
+/// How long an upload may bring no byte until its connection counts as failed. What has arrived
+/// stays.
+pub(super) const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(60);
+/// The name of a file whose client gives none.
+pub(super) const DEFAULT_FILE_NAME: &str = "upload.jsonl";
+/// The purpose of a batch's input file.
+pub(super) const INPUT_PURPOSE: &str = "batch";
+
+impl Session {
+    /// Handles a request for uploads. The path is what follows `/v1/uploads`.
+    pub(super) async fn route_uploads(
+        &mut self,
+        head: &Head,
+        body: &mut Body,
+        path: &[&str],
+    ) -> Result<Response, RequestError> {
+        let reply = match (head.method.as_str(), path) {
+            ("POST", []) => self.create_upload(head, body).await?,
+            ("HEAD" | "GET", [id]) => {
+                let info = self.visible_file(id)?;
+                Reply {
+                    headers: offset_headers(&info),
+                    ..Reply::json(info.object())
+                }
+            }
+            ("PATCH", [id]) => self.append_upload(id, head, body).await?,
+            _ => return Err(no_such_method().into()),
+        };
+        Ok(reply.into())
+    }
+
+    /// Creates an upload of an announced length.
+    async fn create_upload(&mut self, head: &Head, body: &mut Body) -> Result<Reply, RequestError> {
+        let received = self.receive_body(head, body).await?.bytes;
+        let total = number_header(head, "upload-length").ok_or(ApiError::new(
+            400,
+            "Upload-Length",
+            "Upload-Length must tell the file's bytes",
+        ))?;
+        let query = query(head);
+        let name = query_value(head, "filename").unwrap_or_else(|| DEFAULT_FILE_NAME.into());
+        let info = match self.idempotency_key(head, "upload") {
+            None => self.start_upload(&name, total).await?,
+            Some(key) => {
+                let request = format!("{total} {query} {received:?}");
+                self.start_upload_once(&key, &request, &name, total).await?
+            }
+        };
+        let mut headers = offset_headers(&info);
+        headers.push(("Location", format!("/v1/uploads/{}", info.id)));
+        Ok(Reply {
+            status: 201,
+            headers,
+            body: Some(info.object()),
+        })
+    }
+
+    /// Starts an upload, unless the same request with this idempotency key did so before.
+    async fn start_upload_once(
+        &self,
+        key: &str,
+        request: &str,
+        name: &str,
+        total: u64,
+    ) -> Result<FileInfo, RequestError> {
+        let keys = &self.context.idempotency_keys;
+        let created = match keys.claim(key, request.as_bytes())? {
+            Claim::Created(id) => self.context.store.info(&id),
+            Claim::New => self.start_upload(name, total).await,
+        };
+        let info = created.as_ref().ok();
+        keys.complete(key, info.map(|info| info.id.as_str()));
+        Ok(created?)
+    }
+
+    async fn start_upload(&self, name: &str, total: u64) -> Result<FileInfo, StoreError> {
+        let store = &self.context.store;
+        let new = NewFile {
+            name,
+            purpose: INPUT_PURPOSE,
+            total_bytes: Some(total),
+            owner: &self.caller,
+        };
+        let info = store.create(new).await?;
+        if total == 0 {
+            return store.append(&info.id, 0).await?.finish();
+        }
+        Ok(info)
+    }
+
+    /// Appends a part to an upload. What has arrived of it stays, wherever the connection breaks.
+    async fn append_upload(
+        &mut self,
+        id: &str,
+        head: &Head,
+        body: &mut Body,
+    ) -> Result<Reply, RequestError> {
+        let offset = number_header(head, "upload-offset").ok_or(ApiError::new(
+            400,
+            "Upload-Offset",
+            "Upload-Offset must tell where these bytes go on",
+        ))?;
+        self.visible_file(id)?;
+        let context = self.context.clone();
+        let mut appender = context.store.append(id, offset).await?;
+        self.connection.send_continue(head).await?;
+        while let Some(bytes) = self
+            .connection
+            .receive_upload_part(body, UPLOAD_STALL_TIMEOUT)
+            .await?
+        {
+            appender.write(&bytes).await?;
+        }
+        let mut info = context.store.info(id)?;
+        if info.total_bytes == Some(info.bytes) {
+            info = appender.finish()?;
+        }
+        Ok(Reply::empty(204, offset_headers(&info)))
+    }
+}
+
+fn number_header(head: &Head, name: &str) -> Option<u64> {
+    head.get(name)?.parse().ok()
+}
+
+/// The headers that say where an upload is to be resumed.
+fn offset_headers(info: &FileInfo) -> Vec<(&'static str, String)> {
+    let mut headers = vec![("Upload-Offset", info.bytes.to_string())];
+    if let Some(total) = info.total_bytes {
+        headers.push(("Upload-Length", total.to_string()));
+    }
+    headers.push(("Cache-Control", "no-store".into()));
+    headers
+}
--- a/src/batch/store.rs
+++ b/src/batch/store.rs
@@ -1,196 +1,114 @@
-//! The file store: files stream to the spool and from it; only their names and sizes are held in
-//! memory. What it holds ends with the program.
+//! The file store: content is streamed to the spool and from it, and only the files' descriptions
+//! are held in memory. Nothing outlives the process.
 
 mod appender;
 mod error;
 mod file_info;
+mod table;
 
-use std::collections::BTreeMap;
-use std::hash::{BuildHasher, RandomState};
+use std::io;
 use std::path::{Path, PathBuf};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::sync::Arc;
 
 use tokio::fs::File;
 use tokio::task::spawn_blocking;
 
-use crate::edge::Caller;
-use crate::storage::file_system::retry_on_interrupt;
 use crate::storage::{Disk, FileSystem, OpenFile};
+use crate::system_call::retry_on_interrupt;
 
-use appender::Lease;
+use appender::WriteLease;
+use table::FileTable;
 
 pub use appender::Appender;
 pub use error::StoreError;
-pub use file_info::FileInfo;
-
-/// Seconds of Unix time.
-pub fn unix() -> u64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_secs()
-}
-
-/// The store's limits.
-#[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Bytes of one file.
-    pub file: u64,
-    /// Bytes of all files.
-    pub spool: u64,
-    /// Files.
-    pub files: usize,
-}
+pub use file_info::{FileInfo, NewFile, StoredFile};
+pub use table::StoreLimits;
 
-#[derive(Default)]
-struct State {
-    files: BTreeMap<String, FileInfo>,
-    bytes: u64,
-    last: u64,
-}
+/// The extension of the files in the spool.
+const FILE_EXTENSION: &str = "spool";
 
-/// The store; copies share it.
+/// The store; clones share it.
 #[derive(Clone)]
 pub struct Store {
     dir: PathBuf,
-    /// What files are created and written by; they are read past it.
-    writes: Arc<dyn FileSystem>,
-    limits: Limits,
-    random: RandomState,
-    state: Arc<Mutex<State>>,
+    /// Creates and writes files; they are read without it.
+    file_system: Arc<dyn FileSystem>,
+    table: Arc<FileTable>,
 }
 
 impl Store {
-    /// Opens a store in a folder. Files that an earlier program left there are removed: nobody
-    /// knows them now.
-    pub fn open(dir: &Path, limits: Limits) -> Result<Store, StoreError> {
+    /// Opens a store in a folder. Files that an earlier process left there are deleted, as nobody
+    /// knows their ids any more.
+    pub fn open(dir: &Path, limits: StoreLimits) -> io::Result<Store> {
         Store::open_on(dir, limits, Arc::new(Disk))
     }
 
-    /// The same, with files written by way of this file system.
+    /// Opens a store whose files are written by this file system.
     pub(super) fn open_on(
         dir: &Path,
-        limits: Limits,
-        writes: Arc<dyn FileSystem>,
-    ) -> Result<Store, StoreError> {
+        limits: StoreLimits,
+        file_system: Arc<dyn FileSystem>,
+    ) -> io::Result<Store> {
         std::fs::create_dir_all(dir)?;
-        for left in std::fs::read_dir(dir)? {
-            let path = left?.path();
-            if path.extension().is_some_and(|e| e == "spool") {
+        for entry in std::fs::read_dir(dir)? {
+            let path = entry?.path();
+            if path.extension().is_some_and(|e| e == FILE_EXTENSION) {
                 std::fs::remove_file(path)?;
             }
         }
         Ok(Store {
             dir: dir.to_path_buf(),
-            writes,
-            limits,
-            random: RandomState::new(),
-            state: Arc::default(),
+            file_system,
+            table: Arc::new(FileTable::new(limits)),
         })
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// A fresh id that can't be guessed.
-    pub fn fresh_id(&self, kind: &str) -> String {
-        let mut state = self.state();
-        state.last += 1;
-        format!(
-            "{kind}{:016x}{:08x}",
-            self.random.hash_one((state.last, kind)),
-            state.last
-        )
+    /// A new id with this prefix, which can't be guessed.
+    pub fn fresh_id(&self, prefix: &str) -> String {
+        self.table.fresh_id(prefix)
     }
 
     fn path(&self, id: &str) -> PathBuf {
-        self.dir.join(format!("{id}.spool"))
+        self.dir.join(format!("{id}.{FILE_EXTENSION}"))
     }
 
-    /// The limit of one file.
-    pub fn most(&self) -> u64 {
-        self.limits.file
+    /// The most bytes of one file.
+    pub fn max_file_bytes(&self) -> u64 {
+        self.table.limits.file_bytes
     }
 
     /// Creates an empty file.
-    pub async fn create(
-        &self,
-        name: &str,
-        purpose: &str,
-        total: Option<u64>,
-        owner: &Caller,
-    ) -> Result<FileInfo, StoreError> {
-        if total.is_some_and(|t| t > self.limits.file) {
-            return Err(StoreError::TooLarge(self.limits.file));
-        }
-        let id = self.fresh_id("file-");
-        let info = {
-            let mut state = self.state();
-            if state.files.len() >= self.limits.files || state.bytes >= self.limits.spool {
-                return Err(StoreError::Full);
-            }
-            let info = FileInfo {
-                id: id.clone(),
-                number: state.last,
-                name: name.chars().filter(|c| !c.is_control()).take(255).collect(),
-                purpose: purpose.to_string(),
-                bytes: 0,
-                total,
-                ready: false,
-                created: unix(),
-                owner: owner.clone(),
-                busy: false,
-            };
-            state.files.insert(id.clone(), info.clone());
-            info
-        };
-        if let Err(e) = self
-            .open_for_writing(&id, |files, path| files.create(path))
-            .await
-        {
-            self.state().files.remove(&id);
+    pub async fn create(&self, new: NewFile<'_>) -> Result<FileInfo, StoreError> {
+        let info = self.table.add(new)?;
+        let created = self
+            .open_for_writing(&info.id, |file_system, path| file_system.create(path))
+            .await;
+        if let Err(e) = created {
+            self.table.undo_add(&info.id);
             return Err(e);
         }
         Ok(info)
     }
 
-    /// What is known of a file.
+    /// The description of a file.
     pub fn info(&self, id: &str) -> Result<FileInfo, StoreError> {
-        self.state()
-            .files
-            .get(id)
-            .cloned()
-            .ok_or(StoreError::Unknown)
+        self.table.info(id)
     }
 
-    /// All files, the latest first.
+    /// The descriptions of all files, the latest first.
     pub fn list(&self) -> Vec<FileInfo> {
-        let mut all: Vec<FileInfo> = self.state().files.values().cloned().collect();
-        all.sort_by_key(|f| std::cmp::Reverse(f.number));
-        all
+        self.table.list()
     }
 
-    /// Goes on writing a file at its end, which must be `offset`.
+    /// Opens a file to append to it. The offset must be its end.
     pub async fn append(&self, id: &str, offset: u64) -> Result<Appender, StoreError> {
-        {
-            let mut state = self.state();
-            let info = state.files.get_mut(id).ok_or(StoreError::Unknown)?;
-            if info.busy {
-                return Err(StoreError::Busy);
-            }
-            if info.ready || info.bytes != offset {
-                return Err(StoreError::Offset(info.bytes));
-            }
-            info.busy = true;
-        }
-        let lease = Arc::new(Lease {
-            store: self.clone(),
+        self.table.lease(id, offset)?;
+        let lease = Arc::new(WriteLease {
+            table: self.table.clone(),
             id: id.to_string(),
         });
         let file = self
-            .open_for_writing(id, |files, path| files.open(path))
+            .open_for_writing(id, |file_system, path| file_system.open(path))
             .await?;
         Ok(Appender { lease, file })
     }
@@ -198,34 +116,26 @@
     async fn open_for_writing(
         &self,
         id: &str,
-        open: impl Fn(&dyn FileSystem, &Path) -> std::io::Result<Arc<dyn OpenFile>> + Send + 'static,
+        open: impl Fn(&dyn FileSystem, &Path) -> io::Result<Arc<dyn OpenFile>> + Send + 'static,
     ) -> Result<Arc<dyn OpenFile>, StoreError> {
-        let (writes, path) = (self.writes.clone(), self.path(id));
-        let opened = spawn_blocking(move || retry_on_interrupt(|| open(&*writes, &path)));
-        Ok(opened.await.map_err(std::io::Error::other)??)
+        let (file_system, path) = (self.file_system.clone(), self.path(id));
+        let opened = spawn_blocking(move || retry_on_interrupt(|| open(&*file_system, &path)));
+        Ok(opened.await.map_err(io::Error::other)??)
     }
 
-    /// Opens a whole file for reading. Its content is the first bytes, as many as its size: what a
-    /// failed write left may lie behind them.
-    pub async fn read(&self, id: &str) -> Result<(File, FileInfo), StoreError> {
+    /// Opens a complete file for reading.
+    pub async fn read(&self, id: &str) -> Result<StoredFile, StoreError> {
         let info = self.info(id)?;
-        if !info.ready {
-            return Err(StoreError::Unfinished);
+        if !info.is_complete {
+            return Err(StoreError::Incomplete);
         }
-        Ok((File::open(self.path(id)).await?, info))
+        let file = File::open(self.path(id)).await?;
+        Ok(StoredFile { file, info })
     }
 
-    /// Removes a file. Who is reading it can go on.
+    /// Deletes a file. Those who are reading it can go on.
     pub async fn remove(&self, id: &str) -> Result<(), StoreError> {
-        {
-            let mut state = self.state();
-            if state.files.get(id).ok_or(StoreError::Unknown)?.busy {
-                return Err(StoreError::Busy);
-            }
-            if let Some(info) = state.files.remove(id) {
-                state.bytes -= info.bytes;
-            }
-        }
+        self.table.remove(id)?;
         tokio::fs::remove_file(self.path(id)).await?;
         Ok(())
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -39,7 +39,7 @@
 pub mod routing;
 pub mod spend;
 pub mod storage;
-pub mod wire;
+mod system_call;
 
 pub use policy::Balancer;
 
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -27,7 +27,7 @@
     request: Duration::from_millis(2500),
 };
 
-/// What all connections of the platform's clients share.
+/// State that all connections of the platform's clients share.
 pub struct DownstreamContext {
     /// Submits requests to the core.
     pub core: CoreHandle,
@@ -69,7 +69,11 @@
             }
         }
     };
-    if session.reply(&rejection.reply, true).await.is_ok() {
+    if session
+        .reply(&rejection.reply, Persistence::Close)
+        .await
+        .is_ok()
+    {
         session.connection.close(rejection.remainder).await;
     }
 }
@@ -80,28 +84,55 @@
     connection: ClientConnection,
 }
 
-/// What happens to a connection after a request.
+/// Whether a connection stays open after an answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Persistence {
+    KeepAlive,
+    Close,
+}
+
+impl Persistence {
+    /// As the client's request has it.
+    fn requested(head: &Head) -> Persistence {
+        if head.closes() {
+            Persistence::Close
+        } else {
+            Persistence::KeepAlive
+        }
+    }
+}
+
+/// The next step of a connection after a request.
 enum NextStep {
-    /// It waits for the next request.
+    /// Wait for the next request.
     KeepAlive,
-    /// It is closed.
+    /// Close the connection.
     Close,
-    /// It is dropped, as its client has disconnected.
+    /// Drop the connection, as its client has disconnected.
     Drop,
 }
 
+impl From<Persistence> for NextStep {
+    fn from(persistence: Persistence) -> NextStep {
+        match persistence {
+            Persistence::KeepAlive => NextStep::KeepAlive,
+            Persistence::Close => NextStep::Close,
+        }
+    }
+}
+
 /// Why a request was not answered.
 enum RequestError {
-    /// It was rejected before it was read completely.
+    /// The request was rejected before it was read completely.
     Rejected(Rejection),
-    /// It could not be read, or its answer not be written.
+    /// The request could not be read, or its answer not be written.
     Http(HttpError),
 }
 
 /// The answer to a rejected request. The connection is closed after it.
 struct Rejection {
     reply: Reply,
-    /// What the client may still be writing of the request.
+    /// The rest of the request, which the client may still be writing.
     remainder: UnreadRemainder,
 }
 
@@ -145,7 +176,9 @@
             return Err(RequestError::rejected(Reply::too_large(), body));
         }
         if head.path() == "/_health" {
-            return self.answer_health_check(&mut body, head.closes()).await;
+            return self
+                .answer_health_check(&mut body, Persistence::requested(head))
+                .await;
         }
         if head.method != "POST" {
             let reply = Reply::new(404, "Not Found", "no such thing");
@@ -157,7 +190,7 @@
     async fn answer_health_check(
         &mut self,
         body: &mut Body,
-        close: bool,
+        persistence: Persistence,
     ) -> Result<NextStep, RequestError> {
         let memory = self.context.body_memory.clone();
         self.connection
@@ -171,6 +204,6 @@
         } else {
             Reply::new(503, "Service Unavailable", "not ready")
         };
-        self.reply(&reply, close).await
+        self.reply(&reply, persistence).await
     }
 }
--- a/src/net/handover/message_stream/tests.rs
+++ b/src/net/handover/message_stream/tests.rs
@@ -13,12 +13,12 @@
 #[case::nothing("", None)]
 #[case::half_a_message("{\"call\":{\"id\":1,\"call\":\"dr", None)]
 #[case::all_but_the_line_end("{\"call\":{\"id\":1,\"call\":\"drain\"}}", None)]
-#[case::whole("{\"call\":{\"id\":1,\"call\":\"drain\"}}\n", Some(true))]
+#[case::complete("{\"call\":{\"id\":1,\"call\":\"drain\"}}\n", Some(true))]
 #[case::no_json("{\"call\":{\"id\":1,\"call\":\"dr\n", Some(false))]
 #[case::unknown("{\"calls\":[]}\n", Some(false))]
 #[case::no_text("\u{0}\n", Some(false))]
 #[tokio::test]
-async fn only_whole_lines_are_messages(#[case] written: &str, #[case] is_message: Option<bool>) {
+async fn only_complete_lines_are_messages(#[case] written: &str, #[case] is_message: Option<bool>) {
     let (mut peer, stream) = UnixStream::pair().unwrap();
     peer.write_all(written.as_bytes()).await.unwrap();
     drop(peer);
@@ -29,7 +29,7 @@
     match is_message {
         None => assert!(matches!(received, Ok(None)), "{received:?}"),
         Some(true) => assert!(
-            matches!(received, Ok(Some(Message::AdminCommand { id: 1, .. }))),
+            matches!(received, Ok(Some(PeerMessage::AdminCommand { id: 1, .. }))),
             "{received:?}"
         ),
         Some(false) => assert!(
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,14 +1,17 @@
 //! The upstream side: model servers. Each server has an actor with a mailbox, a pool of connections,
-//! and runs the call attempts and health checks that the core orders.
+//! and runs the call attempts and health checks that the core commands.
 //!
 //! Owns the connections to servers and the bytes on them. Decides nothing: which server gets a
 //! request, and whether an attempt is retried, is the decision module's; a request is written once
-//! for each attempt that was ordered.
+//! for each attempt that was commanded.
 
 mod attempt;
+mod attempt_end;
+mod connection;
 mod dial;
 mod health_check;
 mod load_report;
+mod payload;
 mod pool;
 mod response_stream;
 mod stream_tail;
@@ -16,23 +19,22 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::Duration;
 
-use bytes::Bytes;
 use tokio::sync::mpsc;
 use tracing::debug;
 
-use super::connection_limit::{ConnectionLimit, ConnectionPermit};
-use super::http::Buffer;
-use super::stream::Stream;
-use crate::core::{Connector, CoreMessage, Endpoint, Payload, UpstreamCommand};
+use super::connection_limit::ConnectionLimit;
+use crate::core::{Connector, CoreMessage, Endpoint, UpstreamCommand};
 use crate::interface::ReplicaId;
 use crate::ops::metrics::Metrics;
 use pool::Pool;
 
+pub use payload::{UpstreamRequest, payload};
+
 /// How long after its connect timeout an attempt may still start: the time that the actors may take
 /// between the connection and the first byte. An attempt that is later, as after the process was
 /// suspended in between, is not started.
 pub const START_GRACE: Duration = Duration::from_millis(100);
-/// The most orders that wait for the actor of an upstream.
+/// The most commands that wait for the actor of an upstream.
 const MAILBOX_CAPACITY: usize = 1024;
 
 /// The options that all upstreams share.
@@ -59,12 +61,12 @@
 }
 
 impl Connector for TcpConnector {
-    fn open(&self, replica: ReplicaId, host: &Endpoint) -> mpsc::Sender<UpstreamCommand> {
-        let (orders_to, orders) = mpsc::channel(MAILBOX_CAPACITY);
+    fn open(&self, replica: ReplicaId, endpoint: &Endpoint) -> mpsc::Sender<UpstreamCommand> {
+        let (commands_to, commands) = mpsc::channel(MAILBOX_CAPACITY);
         if let Some(messages) = self.messages.get() {
             let upstream = Upstream {
                 replica,
-                address: host.address.clone(),
+                address: endpoint.address.clone(),
                 options: self.options.clone(),
                 connection_limit: self.connection_limit.clone(),
                 metrics: self.metrics.clone(),
@@ -73,45 +75,12 @@
             };
             debug!(
                 "upstream {} ({:x}) at {}",
-                host.name, replica.0, host.address
+                endpoint.name, replica.0, endpoint.address
             );
-            tokio::spawn(Arc::new(upstream).run(orders));
+            tokio::spawn(Arc::new(upstream).run(commands));
         }
-        orders_to
-    }
-}
-
-/// What is sent for a request: method, target, trace id, idempotency key and body are the client's,
-/// unchanged. By the key a model server recognises a retry of the same request.
-pub fn payload(
-    method: &str,
-    target: &str,
-    trace_id: Option<&str>,
-    key: Option<&str>,
-    body: Bytes,
-) -> Payload {
-    let mut preamble = format!("{method} {target} HTTP/1.1\r\n");
-    if let Some(id) = trace_id {
-        preamble.push_str(&format!("X-Trace-Id: {id}\r\n"));
+        commands_to
     }
-    if let Some(key) = key {
-        preamble.push_str(&format!("Idempotency-Key: {key}\r\n"));
-    }
-    preamble.push_str(&format!(
-        "Content-Type: application/json\r\nContent-Length: {}\r\n",
-        body.len()
-    ));
-    Payload {
-        preamble: preamble.into(),
-        body,
-    }
-}
-
-/// A connection to a server, counted by the limit while it lives.
-struct Connection {
-    stream: Stream,
-    buffer: Buffer,
-    _permit: ConnectionPermit,
 }
 
 /// One model server, as its actor, its attempts and its health checks share it.
@@ -126,9 +95,9 @@
 }
 
 impl Upstream {
-    async fn run(self: Arc<Self>, mut orders: mpsc::Receiver<UpstreamCommand>) {
-        while let Some(order) = orders.recv().await {
-            match order {
+    async fn run(self: Arc<Self>, mut commands: mpsc::Receiver<UpstreamCommand>) {
+        while let Some(command) = commands.recv().await {
+            match command {
                 UpstreamCommand::StartAttempt(attempt) => {
                     tokio::spawn(self.clone().run_attempt(attempt))
                 }
--- a/src/net/upstream/response_stream.rs
+++ b/src/net/upstream/response_stream.rs
@@ -8,9 +8,10 @@
 use tokio::time::timeout_at;
 use tracing::debug;
 
-use super::attempt::{Completion, Interruption, LastChunk};
+use super::Upstream;
+use super::attempt_end::{Completion, Interruption, LastChunk};
+use super::connection::Connection;
 use super::stream_tail::StreamTail;
-use super::{Connection, Upstream};
 use crate::core::{AttemptId, AttemptResult, Chunk, CoreMessage, MAX_BUFFERED_CHUNKS};
 use crate::interface::Outcome;
 use crate::net::http::{self, Body, FirstEventDetector, Framing, Head, HttpError};
@@ -176,7 +177,7 @@
 enum PreludeState {
     Incomplete,
     Complete,
-    /// It exceeds its limit without an event.
+    /// The prelude exceeds its limit without an event.
     TooLong,
 }
 
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,6 +1,5 @@
 //! The router: puts the core, discovery, the handover and the fronts together (`open`), serves
-//! until the process shuts down (here), and reads its configuration anew (`reload`). What the parts
-//! do is their own business.
+//! until the process shuts down (here), and reads its configuration anew (`reload`).
 
 mod open;
 mod reload;
@@ -24,9 +23,9 @@
 pub use reload::Reloader;
 pub use run::run;
 
-/// What a router is started with.
+/// The options of a router.
 pub struct RouterOptions {
-    /// Its configuration.
+    /// The router's configuration.
     pub config: Config,
     /// The batch front; `None` where it is off.
     pub batch: Option<batch::Options>,
@@ -54,7 +53,7 @@
     admin: Option<AdminFront>,
     handover: Option<HandoverStart>,
     platform: Option<PlatformFront>,
-    batch: Option<batch::Ready>,
+    batch: Option<batch::BatchService>,
     listener_context: ListenerContext,
     reloader: Reloader,
 }
@@ -135,7 +134,7 @@
     }
 }
 
-async fn serve_batch(batch: Option<batch::Ready>) {
+async fn serve_batch(batch: Option<batch::BatchService>) {
     if let Some(batch) = batch {
         batch.serve().await;
     }
--- a/src/storage/background_writer.rs
+++ b/src/storage/background_writer.rs
@@ -20,7 +20,7 @@
 /// is time for several.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The longest delay: a disk that works again is noticed within this.
-const LONGEST_RETRY_DELAY: Duration = Duration::from_secs(2);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Numbers the submitted states in their order, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -79,13 +79,13 @@
 impl BackgroundWriter {
     /// Starts the writing task, which ends when this value is dropped. Nothing is written before
     /// the first submission. Must be called within a runtime.
-    pub fn start(file: AtomicFile, files: Arc<dyn FileSystem>) -> BackgroundWriter {
+    pub fn start(file: AtomicFile, file_system: Arc<dyn FileSystem>) -> BackgroundWriter {
         let path = file.path().to_path_buf();
         let (latest, submitted) = watch::channel(Submission::default());
         let (report, progress) = watch::channel(Progress::default());
         let task = WriterTask {
             file,
-            files,
+            file_system,
             submitted,
             report,
             log: LogLimit::new(),
@@ -129,7 +129,7 @@
 /// The writing task.
 struct WriterTask {
     file: AtomicFile,
-    files: Arc<dyn FileSystem>,
+    file_system: Arc<dyn FileSystem>,
     submitted: watch::Receiver<Submission>,
     report: watch::Sender<Progress>,
     log: LogLimit,
@@ -144,7 +144,7 @@
 
     /// Writes the latest state, with retries until the file and its copy contain it.
     async fn write_with_retries(&mut self) {
-        let mut backoff = Backoff::new(FIRST_RETRY_DELAY, LONGEST_RETRY_DELAY);
+        let mut backoff = Backoff::new(FIRST_RETRY_DELAY, MAX_RETRY_DELAY);
         let mut has_failed = false;
         while let Err(failure) = self.write_latest().await {
             has_failed = true;
@@ -186,9 +186,9 @@
         submission: &Submission,
         write: fn(&AtomicFile, &dyn FileSystem, &[u8]) -> Result<(), WriteError>,
     ) -> Result<(), Arc<WriteFailure>> {
-        let (file, files) = (self.file.clone(), self.files.clone());
+        let (file, file_system) = (self.file.clone(), self.file_system.clone());
         let bytes = submission.bytes.clone();
-        let written = spawn_blocking(move || write(&file, &*files, &bytes)).await;
+        let written = spawn_blocking(move || write(&file, &*file_system, &bytes)).await;
         written
             .map_err(WriteFailure::from)
             .and_then(|written| written.map_err(WriteFailure::from))
--- /dev/null
+++ b/tests/balancer/replicas.rs
@@ -0,0 +1,127 @@
+//! Replicas that fail, drain or are removed from the endpoint list.
+
+use stilespan::interface::*;
+
+use crate::common::*;
+
+#[test]
+fn fault_delays_maturity() {
+    for outcome in [
+        Outcome::Rejected,
+        Outcome::Error,
+        Outcome::ConnectionReset,
+        Outcome::ConnectFailed,
+    ] {
+        let mut gateway = Gateway::new(settings(), 2);
+        let (_, bad) = sends(&gateway.submit(2_000, arrival(1)))[0];
+        let again = sends(&gateway.step(2_000, vec![attempt_ended(1, 0, outcome, false)]));
+        assert_eq!(again, [(1, 1 - bad)], "{outcome:?}");
+    }
+}
+
+#[test]
+fn connect_failures_back_off() {
+    let mut gateway = Gateway::new(settings(), 4);
+    let (mut failures, mut failing) = (0, None);
+    for id in 1..=400 {
+        let mut actions = gateway.submit(5_000, arrival(id));
+        for attempt in 0..3 {
+            assert!(!is_rejected(&actions, id));
+            let [(_, replica)] = sends(&actions)[..] else {
+                panic!("{actions:?}")
+            };
+            // the first replica that is tried takes no connections
+            if replica != *failing.get_or_insert(replica) {
+                gateway.step(1_000, vec![first_token(id, attempt, 1_000)]);
+                gateway.step(
+                    1_000,
+                    vec![attempt_ended(id, attempt, Outcome::Completed, true)],
+                );
+                break;
+            }
+            failures += 1;
+            actions = gateway.step(
+                1_000,
+                vec![attempt_ended(id, attempt, Outcome::ConnectFailed, false)],
+            );
+        }
+    }
+    // in about three seconds, of 400 requests
+    assert!((1..=12).contains(&failures), "{failures}");
+}
+
+/// Guards against a replica that is left out for as long as its broken stream had run.
+#[test]
+fn late_stream_failure_keeps_replica() {
+    let mut gateway = Gateway::new(settings(), 1);
+    assert_eq!(sends(&gateway.submit(2_000, arrival(1))).len(), 1);
+    gateway.step(50_000, vec![first_token(1, 0, 50_000)]);
+    let (request, elapsed, outcome) = (RequestId(1), Span::from_secs(4), Outcome::ConnectionReset);
+    let broken = Event::AttemptEnded(AttemptEnded {
+        request,
+        attempt: 0,
+        outcome,
+        elapsed,
+        cached_tokens: None,
+        request_complete: true,
+        load_report: None,
+    });
+    gateway.step(3_950_000, vec![broken]);
+    gateway.step(1_500_000, vec![]);
+    assert_eq!(sends(&gateway.submit(2_000, arrival(2))).len(), 1);
+}
+
+#[test]
+fn draining_replicas_get_nothing_new() {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
+        let mut gateway = Gateway::new(settings(), 1);
+        gateway.step(
+            2_000,
+            vec![endpoints_updated(
+                EndpointListKind::Partial,
+                vec![entry(0).with_state(state)],
+            )],
+        );
+        let actions = gateway.submit(2_000, arrival(1));
+        assert!(sends(&actions).is_empty());
+        // and the request is answered at once: the list that has arrived names no replica that
+        // could take it
+        assert!(is_rejected(&actions, 1), "{actions:?}");
+    }
+    // a replica that a complete list does not name is removed too
+    let mut gateway = Gateway::new(settings(), 2);
+    gateway.step(
+        2_000,
+        vec![endpoints_updated(
+            EndpointListKind::Complete,
+            vec![entry(1)],
+        )],
+    );
+    assert_eq!(sends(&gateway.submit(2_000, arrival(1))), [(1, 1)]);
+}
+
+/// Guards against memory and processing time that grow with every replica that was ever listed.
+#[test]
+fn withdrawn_replicas_free_memory() {
+    let mut gateway = Gateway::new(settings(), 2);
+    for k in 2..500 {
+        let removed = entry(k - 2).with_state(EndpointState::Removed);
+        gateway.step(
+            20_000,
+            vec![endpoints_updated(
+                EndpointListKind::Partial,
+                vec![removed, entry(k)],
+            )],
+        );
+        let id = k as u32;
+        let sent = sends(&gateway.submit(2_000, arrival(id)));
+        assert!(sent.iter().all(|s| s.1 == k || s.1 == k - 1), "{sent:?}");
+        gateway.step(5_000, vec![first_token(id, 0, 10_000)]);
+        gateway.step(1_000, vec![attempt_ended(id, 0, Outcome::Completed, true)]);
+    }
+    assert!(
+        gateway.balancer.tracked_replicas() <= 4,
+        "{}",
+        gateway.balancer.tracked_replicas()
+    );
+}
--- /dev/null
+++ b/tests/balancer/retries.rs
@@ -0,0 +1,62 @@
+//! Which attempts may be retried, and the answers of requests that are not.
+
+use stilespan::interface::*;
+
+use crate::common::*;
+
+#[test]
+fn non_idempotent_retry_needs_unrun_attempt() {
+    let mut set = settings();
+    set.classes[0].idempotency = Idempotency::NonIdempotent;
+    for (outcome, again) in [
+        (Outcome::Rejected, true),
+        (Outcome::ConnectFailed, true),
+        (Outcome::ConnectionReset, false),
+    ] {
+        let mut gateway = Gateway::new(set.clone(), 2);
+        gateway.submit(2_000, arrival(1));
+        let actions = gateway.step(2_000, vec![attempt_ended(1, 0, outcome, false)]);
+        assert_eq!(!sends(&actions).is_empty(), again, "{outcome:?}");
+        assert_eq!(is_failed(&actions, 1), !again, "{outcome:?}");
+        assert!(!is_rejected(&actions, 1));
+    }
+}
+
+#[test]
+fn keyed_retry_stays_in_its_window() {
+    let mut set = settings();
+    set.classes[0] = Class {
+        idempotency: Idempotency::Keyed,
+        deduplication_scope: DeduplicationScope::Cell,
+        ..set.classes[0].clone()
+    };
+    let fleet = |cells: [u32; 2]| {
+        let entries = cells
+            .iter()
+            .enumerate()
+            .map(|(k, &cell)| entry(k as u64).with_cell(cell));
+        endpoints_updated(EndpointListKind::Persisted, entries.collect())
+    };
+    let run = |cells, window| {
+        let mut set = set.clone();
+        set.classes[0].deduplication_window = Span::from_micros(window);
+        let mut gateway = Gateway::new(set, 0);
+        gateway.step(0, vec![fleet(cells)]);
+        gateway.submit(2_000, arrival(1));
+        gateway.step(50_000, vec![attempt_ended(1, 0, Outcome::Error, false)])
+    };
+    assert_eq!(sends(&run([3, 3], 5_000_000)).len(), 1);
+    assert!(sends(&run([3, 4], 5_000_000)).is_empty());
+    assert!(sends(&run([3, 3], 40_000)).is_empty());
+}
+
+#[test]
+fn deadline_timeout_is_answered() {
+    let mut gateway = Gateway::new(settings(), 1);
+    gateway.submit(2_000, arrival(1));
+    let actions = gateway.step(
+        1_000_000,
+        vec![attempt_ended(1, 0, Outcome::Timeout, false)],
+    );
+    assert!(is_rejected(&actions, 1));
+}
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -1,5 +1,5 @@
 //! Many gateways, each a `Balancer` of its own with values for time; no replica is modelled,
-//! answers come after a fixed time.
+//! answers arrive after a fixed time.
 
 use stilespan::interface::*;
 
@@ -8,38 +8,48 @@
 /// Gateways in the fleets of these tests.
 pub const GATEWAYS: u32 = 100;
 
-/// Many gateways, and what they sent: when, from which, and where to.
+/// An attempt that a gateway has started.
+#[derive(Clone, Copy, Debug)]
+pub struct SentAttempt {
+    pub at: Timestamp,
+    pub replica: u64,
+}
+
+/// A request that ends at a known time.
+#[derive(Clone, Copy, Debug)]
+struct InFlight {
+    ends_at: Timestamp,
+    gateway: usize,
+    request: u32,
+}
+
+/// Many gateways, and the attempts that they have started.
 pub struct Fleet {
     pub gateways: Vec<Gateway>,
-    pub open: Vec<(Timestamp, usize, u32)>,
-    pub sent: Vec<(Timestamp, usize, u64)>,
-    pub ended: usize,
-    pub next: u32,
+    in_flight: Vec<InFlight>,
+    pub sent: Vec<SentAttempt>,
+    /// Requests that were rejected or have failed.
+    pub rejected: usize,
+    /// The id of the last request.
+    pub last_request: u32,
 }
 
 impl Fleet {
+    /// As many gateways as the settings say, with these entries in their persisted lists.
     pub fn new(settings: &Settings, entries: &[ReplicaEntry]) -> Fleet {
         Fleet::seeded(settings, entries, 0)
     }
 
-    /// With seeds from this one on, one for each gateway.
+    /// The same with seeds from this one on, one for each gateway.
     pub fn seeded(settings: &Settings, entries: &[ReplicaEntry], first: u64) -> Fleet {
-        let gateway = |seed| {
-            let balancer = stilespan::Balancer::new(settings.clone(), first + seed, START);
-            let mut gateway = Gateway {
-                balancer,
-                now: START,
-            };
-            gateway.step(0, vec![list(EndpointListKind::Persisted, entries.to_vec())]);
-            gateway
-        };
+        let gateway = |seed| Gateway::seeded(settings.clone(), first + seed, entries.to_vec());
         let gateways = (0..u64::from(settings.router_count)).map(gateway).collect();
         Fleet {
             gateways,
-            open: Vec::new(),
+            in_flight: Vec::new(),
             sent: Vec::new(),
-            ended: 0,
-            next: 0,
+            rejected: 0,
+            last_request: 0,
         }
     }
 
@@ -51,59 +61,74 @@
             let now =
                 start + Span::from_micros(span.as_micros() * k as u64 / self.gateways.len() as u64);
             self.settle(now);
-            self.next += 1;
-            let ask = Arrival {
-                expires_at: now + Span::from_secs(5),
-                ..arrival(self.next)
-            };
-            self.act(k, now, vec![Event::RequestReceived(ask)]);
+            self.last_request += 1;
+            let request = arrival(self.last_request).with_expires_at(now + Span::from_secs(5));
+            self.step(k, now, vec![Event::RequestReceived(request)]);
         }
         let end = start + span;
         self.settle(end);
         for k in 0..self.gateways.len() {
-            self.act(k, end, vec![Event::TimerFired { timer_id: 0 }]);
+            self.step(k, end, vec![Event::TimerFired { timer_id: 0 }]);
         }
     }
 
+    /// Ends the requests in flight whose time has come.
     pub fn settle(&mut self, now: Timestamp) {
-        let (due, open) = self.open.iter().partition(|o| o.0 <= now);
-        self.open = open;
-        for (at, k, id) in due {
-            let events = vec![first(id, 0, 50_000), ended(id, 0, Outcome::Completed, true)];
-            self.act(k, at.max(self.gateways[k].now), events);
+        let (due, in_flight) = self.in_flight.iter().partition(|o| o.ends_at <= now);
+        self.in_flight = in_flight;
+        for InFlight {
+            ends_at,
+            gateway,
+            request,
+        } in due
+        {
+            let events = vec![
+                first_token(request, 0, 50_000),
+                attempt_ended(request, 0, Outcome::Completed, true),
+            ];
+            self.step(gateway, ends_at.max(self.gateways[gateway].now), events);
         }
     }
 
-    pub fn act(&mut self, k: usize, now: Timestamp, events: Vec<Event>) {
+    /// Passes events to a gateway and records what it does.
+    pub fn step(&mut self, k: usize, now: Timestamp, events: Vec<Event>) {
         let after = now - self.gateways[k].now;
         for action in self.gateways[k].step(after.as_micros(), events) {
             match action {
                 Action::StartAttempt {
                     request, replica, ..
                 } => {
-                    self.sent.push((now, k, replica.0));
-                    self.open.push((now + Span::from_millis(250), k, request.0));
+                    self.sent.push(SentAttempt {
+                        at: now,
+                        replica: replica.0,
+                    });
+                    self.in_flight.push(InFlight {
+                        ends_at: now + Span::from_millis(250),
+                        gateway: k,
+                        request: request.0,
+                    });
                 }
-                Action::Reject { .. } | Action::Fail { .. } => self.ended += 1,
+                Action::Reject { .. } | Action::Fail { .. } => self.rejected += 1,
                 _ => {}
             }
         }
     }
 
-    /// The most sends to one replica within any window.
-    pub fn most(&self, window: Span, of: impl Fn(u64) -> bool) -> usize {
-        let mut most = 0;
-        for &(at, _, to) in self.sent.iter().filter(|s| of(s.2)) {
-            let within =
-                |s: &&(Timestamp, usize, u64)| s.2 == to && s.0 >= at && s.0 - at <= window;
-            most = most.max(self.sent.iter().filter(within).count());
+    /// The maximum of sends to one replica within any window.
+    pub fn max_sends(&self, window: Span, of: impl Fn(u64) -> bool) -> usize {
+        let mut max = 0;
+        for first in self.sent.iter().filter(|sent| of(sent.replica)) {
+            let within = |sent: &&SentAttempt| {
+                sent.replica == first.replica && sent.at >= first.at && sent.at - first.at <= window
+            };
+            max = max.max(self.sent.iter().filter(within).count());
         }
-        most
+        max
     }
 }
 
-/// Settings with the rule on cold replicas.
-pub fn rules() -> Settings {
+/// Settings with the rule for replicas in slow start.
+pub fn slow_start_settings() -> Settings {
     Settings {
         router_count: GATEWAYS,
         overload_window: Span::from_millis(1_500),
@@ -113,8 +138,8 @@
     }
 }
 
-/// Settings with load reports.
-pub fn probing() -> Settings {
+/// Settings with health checks and load reports.
+pub fn health_check_settings() -> Settings {
     let report = vec![
         LoadReportField::ErrorsPerSecond,
         LoadReportField::ServedPerSecond,
@@ -124,11 +149,12 @@
     Settings {
         health_checks: true,
         load_report_fields: report,
-        ..rules()
+        ..slow_start_settings()
     }
 }
 
-pub fn probes(actions: &[Action]) -> Vec<u64> {
+/// The replicas whose health these actions check.
+pub fn health_checks(actions: &[Action]) -> Vec<u64> {
     let probe = |a: &Action| match a {
         Action::CheckHealth { replica } => Some(replica.0),
         _ => None,
@@ -136,7 +162,8 @@
     actions.iter().filter_map(probe).collect()
 }
 
-pub fn told(replica: u64, outcome: Outcome, report: Option<LoadReport>) -> Event {
+/// The end of a health check.
+pub fn health_check_ended(replica: u64, outcome: Outcome, report: Option<LoadReport>) -> Event {
     Event::HealthCheckEnded(HealthCheckEnded {
         replica: ReplicaId(replica),
         outcome,
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! The program as it is started: a child process, its files and its signals.
+//! The built program as a child process, its files and its signals.
 #![allow(dead_code)]
 
 use std::fs;
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// A file that is there for one test.
+/// A temporary file of one test, removed at its end.
 pub struct Scratch(pub PathBuf);
 
 impl Scratch {
@@ -33,14 +33,15 @@
     }
 }
 
+/// The built program without the environment's settings.
 pub fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_stilespan"));
     command.env_remove("GW_CONFIG").env_remove("RUST_LOG");
     command
 }
 
-/// Starts the program on a file and waits until it serves; gives its address and the rest of its
-/// log.
+/// Starts the program with a configuration file and waits until it serves; its address and the rest
+/// of its log.
 pub async fn serve(file: &Scratch) -> (Running, String, BufReader<std::process::ChildStderr>) {
     let mut child = program()
         .args(["serve", "--config"])
@@ -66,6 +67,7 @@
     (child, address, log)
 }
 
+/// Sends a signal, named without `SIG`.
 pub fn signal(name: &str, child: &Running) {
     let kill = format!("kill -{name} {}", child.0.id());
     assert!(
--- /dev/null
+++ b/tests/faults/seed_run.rs
@@ -0,0 +1,198 @@
+//! One run of a seed: routers as processes, their peers, and the faults drawn from the seed.
+
+use std::path::Path;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::{JoinHandle, spawn};
+use std::time::{Duration, Instant};
+
+use cluster_test::discovery::Discovery;
+use cluster_test::injection::Injection;
+use cluster_test::{ClusterError, RouterProcess, router_config};
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+use serde_json::json;
+use tokio::time::sleep;
+
+use super::clients::Client;
+use super::failing_calls::draw_rules;
+use super::record::{OutageKind, Record};
+use super::recorder::Recorder;
+use super::servers::Server;
+
+/// Clients send requests for so long.
+const LENGTH: Duration = Duration::from_secs(5);
+/// Clients of a router.
+const CLIENTS: usize = 8;
+/// A terminated process is killed after this.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(3700);
+
+/// A fault of a router's process.
+#[derive(Clone, Copy, Debug)]
+enum ProcessFault {
+    /// SIGSTOP, and SIGCONT after so long.
+    Stop(Duration),
+    /// SIGKILL and a restart.
+    Kill,
+    /// SIGTERM, SIGKILL after `SHUTDOWN_GRACE`, and a restart.
+    Terminate,
+}
+
+/// Whether system calls of the routers fail.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SystemCalls {
+    Sound,
+    /// Some fail, drawn from the seed.
+    Failing,
+}
+
+/// The result of a run.
+pub struct SeedRun {
+    pub record: Record,
+    /// System calls that were made to fail.
+    pub failed_calls: u64,
+}
+
+/// Runs a seed with processes of this program.
+pub async fn run_seed(
+    seed: u64,
+    program: &Path,
+    calls: SystemCalls,
+) -> Result<SeedRun, ClusterError> {
+    let mut rng = StdRng::seed_from_u64(seed);
+    let folder = tempfile::tempdir()?;
+    let (recorder, stop) = (Arc::new(Recorder::new()), Arc::new(AtomicBool::new(false)));
+    let servers: Vec<Server> = (0..4)
+        .map(|n| Server::start(seed * 100 + n, recorder.clone(), stop.clone()))
+        .collect();
+    let addresses: Vec<_> = servers.iter().map(|server| server.address).collect();
+    let routers = rng.random_range(3..=6);
+    let discovery = Discovery::start(vec![addresses.clone(); routers]).await?;
+    let rules = draw_rules(seed);
+    let (mut processes, mut injections) = (Vec::new(), Vec::new());
+    for router in 0..routers {
+        let mut config = router_config(routers, router, discovery.addresses[router], &addresses);
+        // some have hardly any descriptors or memory
+        if rng.random_bool(0.3) {
+            config["limits"] = json!({"cores": 1.0, "memory_mb": 1, "sockets": 56});
+        }
+        let folder = folder.path().join(router.to_string());
+        let injection = match calls {
+            SystemCalls::Sound => None,
+            SystemCalls::Failing => Some(Injection::new(&folder, seed, &rules)?),
+        };
+        processes.push(
+            RouterProcess::start_with_faults(injection.as_ref(), program, &folder, &config).await?,
+        );
+        injections.extend(injection);
+    }
+    let until = Instant::now() + LENGTH;
+    let clients = start_clients(&processes, &mut rng, &recorder, until);
+    let faults = processes.into_iter().enumerate().map(|(router, process)| {
+        let rng = StdRng::seed_from_u64(rng.random());
+        inject_faults(router, process, rng, until, recorder.clone())
+    });
+    let processes = futures_util::future::try_join_all(faults).await?;
+    wait_for(&clients).await;
+    wait_for(&recorder.take_watches()).await;
+    stop.store(true, Ordering::Relaxed);
+    drop((processes, discovery));
+    for server in servers {
+        server.join();
+    }
+    Ok(SeedRun {
+        record: recorder.record(),
+        failed_calls: count_failed_calls(injections)?,
+    })
+}
+
+/// Starts the clients of each router, with seeds drawn in the routers' order.
+fn start_clients(
+    processes: &[RouterProcess],
+    rng: &mut StdRng,
+    recorder: &Arc<Recorder>,
+    until: Instant,
+) -> Vec<JoinHandle<()>> {
+    let mut clients = Vec::new();
+    for (router, process) in processes.iter().enumerate() {
+        for number in 0..CLIENTS {
+            let client = Client {
+                router,
+                number,
+                address: process.listen,
+                recorder: recorder.clone(),
+                until,
+            };
+            let seed = rng.random();
+            clients.push(spawn(move || client.run(seed)));
+        }
+    }
+    clients
+}
+
+/// Waits until all of these threads have finished, without blocking the runtime.
+async fn wait_for(threads: &[JoinHandle<()>]) {
+    while threads.iter().any(|thread| !thread.is_finished()) {
+        sleep(Duration::from_millis(20)).await;
+    }
+}
+
+/// System calls that were made to fail in all processes together.
+fn count_failed_calls(injections: Vec<Injection>) -> Result<u64, ClusterError> {
+    let mut failed_calls = 0;
+    for injection in injections {
+        failed_calls += injection
+            .counts()?
+            .iter()
+            .map(|(_, count)| count)
+            .sum::<u64>();
+    }
+    Ok(failed_calls)
+}
+
+/// Injects random faults into one router until the clients stop.
+async fn inject_faults(
+    router: usize,
+    mut process: RouterProcess,
+    mut rng: StdRng,
+    until: Instant,
+    recorder: Arc<Recorder>,
+) -> Result<RouterProcess, ClusterError> {
+    loop {
+        sleep(Duration::from_millis(rng.random_range(300..1500))).await;
+        if Instant::now() >= until {
+            return Ok(process);
+        }
+        let fault = match rng.random_range(0..10) {
+            0..6 => ProcessFault::Stop(Duration::from_millis(rng.random_range(50..900))),
+            6..7 => ProcessFault::Kill,
+            _ => ProcessFault::Terminate,
+        };
+        let from = Instant::now();
+        match fault {
+            ProcessFault::Stop(duration) => {
+                process.suspend()?;
+                sleep(duration).await;
+                process.resume()?;
+                recorder.record_outage(router, OutageKind::Stopped, from);
+            }
+            ProcessFault::Kill => {
+                process.restart()?;
+                process.wait_until_ready().await?;
+                recorder.record_outage(router, OutageKind::Killed, from);
+            }
+            ProcessFault::Terminate => {
+                process.terminate()?;
+                while !process.has_exited() && from.elapsed() < SHUTDOWN_GRACE {
+                    sleep(Duration::from_millis(5)).await;
+                }
+                let late = Instant::now();
+                process.restart()?;
+                process.wait_until_ready().await?;
+                if late - from >= SHUTDOWN_GRACE {
+                    recorder.record_outage(router, OutageKind::Killed, late);
+                }
+            }
+        }
+    }
+}
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -3,12 +3,13 @@
 
 use std::path::Path;
 
-use lab::{End, Record, Scenario, check};
+use cluster_test::{RequestOutcome, RunRecord, Scenario, check};
 use rstest::rstest;
+use tokio::sync::Mutex;
 
 /// Plays a scenario with each of its seeds, side by side, or with the seeds that `LAB_SEEDS` asks
 /// for (1 to so many). With `LAB_RECORDS` the records stay there as JSON.
-async fn play(name: &str) -> Vec<Record> {
+async fn play(name: &str) -> Vec<RunRecord> {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/scenarios/{name}.toml"));
     let scenario = Scenario::parse(&std::fs::read_to_string(&file).unwrap()).unwrap();
     let asked = std::env::var("LAB_SEEDS").ok().and_then(|n| n.parse().ok());
@@ -16,7 +17,9 @@
     let program = Path::new(env!("CARGO_BIN_EXE_stilespan"));
     let mut records = Vec::new();
     for seeds in seeds.chunks(5) {
-        let plays = seeds.iter().map(|&seed| lab::run(&scenario, seed, program));
+        let plays = seeds
+            .iter()
+            .map(|&seed| cluster_test::run_scenario(&scenario, seed, program));
         for record in futures_util::future::join_all(plays).await {
             records.push(record.unwrap());
         }
@@ -30,6 +33,10 @@
     records
 }
 
+/// Taken by the scenario that runs: each starts fifteen routers with their peers, and beside three
+/// others on a busy machine the routers would be starved rather than their links cut.
+static RUNNING: Mutex<()> = Mutex::const_new(());
+
 #[rstest]
 #[case("silent_watch")]
 #[case("lost_links")]
@@ -37,20 +44,21 @@
 #[case("restarts")]
 #[tokio::test]
 async fn every_rule_holds(#[case] name: &str) {
+    let _running = RUNNING.lock().await;
     for record in play(name).await {
-        let broken = check::broken(&record);
+        let broken = check::violations(&record);
         assert!(
             broken.is_empty(),
             "{name}, seed {}: {broken:#?}",
             record.seed
         );
         let answered = record
-            .asked
+            .requests
             .iter()
-            .filter(|asked| asked.end == End::Answered)
+            .filter(|request| request.outcome == RequestOutcome::Completed)
             .count();
         assert!(
-            answered * 2 > record.asked.len(),
+            answered * 2 > record.requests.len(),
             "{name}, seed {}: {answered} answered",
             record.seed
         );
--- a/tests/saved_orders.rs
+++ b/tests/maintenance_state.rs
@@ -16,10 +16,7 @@
 
 /// A router with this state directory and two model servers.
 async fn router(folder: &Folder) -> (Router, Peer, Peer) {
-    let (a, b) = (
-        peer(|_, _, _| answer("a")).await,
-        peer(|_, _, _| answer("b")).await,
-    );
+    let (a, b) = answering_pair().await;
     let config = config(
         &[
             ("s-a", &a.address, "SERVING"),
@@ -33,20 +30,16 @@
         listener,
         folder: Some(folder.path("")),
     });
-    let plan = RouterOptions {
-        config,
-        batch: None,
-        edge: None,
-        inventory: None,
-        config_file: None,
+    let options = RouterOptions {
         inherited,
+        ..router_options(config)
     };
-    (start(plan).await, a, b)
+    (start(options).await, a, b)
 }
 
 async fn disable(router: &Router, name: &str) -> Got {
     let text = format!("POST /model-servers/disable?name={name} HTTP/1.1\r\n\r\n");
-    Client::new(&router.admin).await.call(text.as_bytes()).await
+    call_once(&router.admin, text.as_bytes()).await
 }
 
 #[tokio::test]
--- a/tests/operations/admin_address.rs
+++ b/tests/operations/admin_address.rs
@@ -19,7 +19,7 @@
 #[tokio::test]
 async fn invalid_request_gets_a_4xx(#[case] text: &str, #[case] status: u16) {
     let router = route(config(&[], None)).await;
-    let got = Client::new(&router.admin).await.call(text.as_bytes()).await;
+    let got = call_once(&router.admin, text.as_bytes()).await;
     assert_eq!(got.head.status, status);
     assert_eq!(got.head.get("allow"), (status == 405).then_some("POST"));
     let mut long = Client::new(&router.admin).await;
@@ -48,8 +48,8 @@
     let calls = async {
         for _ in 0..20 {
             execute(&router, "GET", "/metrics").await;
-            execute(&router, "POST", "/model-servers/disable?name=s-a").await;
-            execute(&router, "POST", "/model-servers/enable?name=s-a").await;
+            disable(&router, "s-a").await;
+            enable(&router, "s-a").await;
         }
     };
     timeout(Duration::from_secs(15), calls)
@@ -63,14 +63,7 @@
     let mut config = config(&[], None);
     config.admin = Some(taken.local_addr().unwrap().to_string());
     let at = config.admin.clone().unwrap();
-    let plan = stilespan::router::RouterOptions {
-        config,
-        batch: None,
-        edge: None,
-        inventory: None,
-        config_file: None,
-        inherited: None,
-    };
-    let opened = stilespan::router::open(plan, tokio::sync::watch::channel(false).1).await;
+    let options = router_options(config);
+    let opened = stilespan::router::open(options, tokio::sync::watch::channel(false).1).await;
     assert!(opened.err().unwrap().to_string().contains(&at));
 }
--- a/tests/operations/operator.rs
+++ b/tests/operations/operator.rs
@@ -19,12 +19,33 @@
     (got.head.status, got.body)
 }
 
+/// Executes a command that has to succeed; the body of its response.
 pub async fn execute(router: &Router, method: &str, target: &str) -> String {
     let (status, body) = call(router, method, target).await;
     assert_eq!(status, 200, "{target}: {body}");
     body
 }
 
+/// Excludes a model server.
+pub async fn disable(router: &Router, name: &str) {
+    execute(
+        router,
+        "POST",
+        &format!("/model-servers/disable?name={name}"),
+    )
+    .await;
+}
+
+/// Restores a model server.
+pub async fn enable(router: &Router, name: &str) {
+    execute(
+        router,
+        "POST",
+        &format!("/model-servers/enable?name={name}"),
+    )
+    .await;
+}
+
 /// The value of a metric, by its name and labels.
 pub async fn metric(router: &Router, name: &str) -> u64 {
     let text = execute(router, "GET", "/metrics").await;
@@ -52,11 +73,7 @@
 }
 
 pub async fn is_healthy(router: &Router) -> bool {
-    let got = Client::new(&router.platform)
-        .await
-        .call(b"GET /_health HTTP/1.1\r\n\r\n")
-        .await;
-    got.head.status == 200
+    health_status(&router.platform).await == 200
 }
 
 /// Discovery that answers each poll with the next list once the test opens the gate, and then no
@@ -64,13 +81,7 @@
 pub async fn lists_behind_gate(lists: [serde_json::Value; 5]) -> Peer {
     let lists = lists.map(|list| list.to_string());
     peer(move |n, _, _| match lists.get(n) {
-        Some(list) => vec![
-            Step::Gate,
-            Step::Write(format!(
-                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
-                list.len()
-            )),
-        ],
+        Some(list) => vec![Step::Gate, success(list)],
         None => vec![Step::Hang],
     })
     .await
--- a/tests/shutdown_deadline.rs
+++ b/tests/shutdown_deadline.rs
@@ -20,10 +20,10 @@
 const LONGEST_DEADLINE: Duration = Duration::from_secs(3);
 /// A request that was complete by then is not counted as lost if its answer has begun and outlasts
 /// SIGKILL.
-const TAKEN_IN_TIME: Duration = Duration::from_millis(700);
+const ACCEPTED_IN_TIME: Duration = Duration::from_millis(700);
 /// The program may not be scheduled for so long at any time.
 const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(150);
-/// From then on after the shutdown signal all streams go on for longer than the program may.
+/// From this time after the shutdown signal on, all streams last longer than the program may run.
 const LONG_STREAMS_AFTER: Duration = Duration::from_millis(500);
 /// Milliseconds between two first requests on connections of one kind.
 const STEP_MS: usize = 50;
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Delay {
     Never,
-    /// The shutdown signal comes as that begins.
+    /// The shutdown signal arrives as the delay begins.
     AtSigterm,
     /// So many milliseconds after the shutdown signal.
     After(u64),
@@ -72,8 +72,8 @@
     value.to_string()
 }
 
-/// Answers at once, after some time, never, and with a stream that goes on for longer than the
-/// program may; from some time after the shutdown signal with such streams alone.
+/// Answers at once, after some time, never, and with a stream that lasts longer than the program
+/// may run; from `LONG_STREAMS_AFTER` the shutdown signal on, only with such streams.
 fn script(n: usize, term: Option<Instant>) -> Vec<Step> {
     let part = |text: &str| Step::Write(chunk(&event(text)));
     let begun = Step::Write(STREAM.into());
@@ -114,8 +114,54 @@
     servers
 }
 
+/// Opens connections of each kind; the requests on them begin at steps from the shutdown signal on.
+async fn start_clients(
+    address: &str,
+    deadline: Duration,
+    ending: &watch::Receiver<Option<Instant>>,
+    killed: &watch::Receiver<bool>,
+) -> JoinSet<Connection> {
+    let mut clients = JoinSet::new();
+    for writing in [Writing::Complete, Writing::Pipelined, Writing::InPieces] {
+        for offset in (0..1500).step_by(STEP_MS).map(Duration::from_millis) {
+            let connection = Connection::open(address, writing).await;
+            let (mut ending, killed) = (ending.clone(), killed.clone());
+            clients.spawn(async move {
+                let term = ending.wait_for(Option::is_some).await.unwrap().unwrap();
+                sleep_until(term + offset).await;
+                connection.run(deadline, killed).await
+            });
+        }
+    }
+    clients
+}
+
+/// Sends the shutdown signal and delays the program; when the signal was sent, and by how much the
+/// delay became longer on a busy machine.
+async fn shut_down(
+    child: &Running,
+    ended: &watch::Sender<Option<Instant>>,
+    delay: Delay,
+) -> (Instant, Duration) {
+    let sigterm = || {
+        signal("TERM", child);
+        ended.send(Some(Instant::now())).unwrap();
+    };
+    let mut longer = Duration::ZERO;
+    match delay {
+        Delay::AtSigterm => longer = delay_program(child, sigterm).await,
+        _ => sigterm(),
+    }
+    let term = ended.borrow().unwrap();
+    if let Delay::After(ms) = delay {
+        sleep_until(term + Duration::from_millis(ms)).await;
+        longer = delay_program(child, || {}).await;
+    }
+    (term, longer)
+}
+
 /// The program is killed as early as the platform may: no request that it has read is without its
-/// whole answer.
+/// complete answer.
 #[rstest]
 #[case::short(300, Delay::Never)]
 #[case::middle(1000, Delay::Never)]
@@ -136,36 +182,12 @@
         &settings(&hosts, deadline),
     );
     let (mut child, address, _log) = serve(&file).await;
-    let mut clients = JoinSet::new();
-    for writing in [Writing::Whole, Writing::ThreeAtOnce, Writing::InPieces] {
-        for offset in (0..1500).step_by(STEP_MS).map(Duration::from_millis) {
-            let connection = Connection::open(&address, writing).await;
-            let (mut ending, killed) = (ending.clone(), killed.clone());
-            clients.spawn(async move {
-                let term = ending.wait_for(Option::is_some).await.unwrap().unwrap();
-                sleep_until(term + offset).await;
-                connection.run(deadline, killed).await
-            });
-        }
-    }
+    let clients = start_clients(&address, deadline, &ending, &killed).await;
     let waited = waited_for_processor(&child);
-    let sigterm = || {
-        signal("TERM", &child);
-        ended.send(Some(Instant::now())).unwrap();
-    };
-    let mut longer = Duration::ZERO;
-    match delay {
-        Delay::AtSigterm => longer = delay_program(&child, sigterm).await,
-        _ => sigterm(),
-    }
-    let term = ending.borrow().unwrap();
-    if let Delay::After(ms) = delay {
-        sleep_until(term + Duration::from_millis(ms)).await;
-        longer = delay_program(&child, || {}).await;
-    }
+    let (term, longer) = shut_down(&child, &ended, delay).await;
     let allowance = || longer + waited_for_processor(&child).saturating_sub(waited);
-    sleep_until(term + TAKEN_IN_TIME + MAX_SCHEDULING_DELAY).await;
-    let in_time = term + TAKEN_IN_TIME + allowance();
+    sleep_until(term + ACCEPTED_IN_TIME + MAX_SCHEDULING_DELAY).await;
+    let in_time = term + ACCEPTED_IN_TIME + allowance();
     let earliest = term + deadline.min(LONGEST_DEADLINE) + AFTER_DEADLINE;
     while Instant::now() < earliest + allowance() {
         sleep_until(earliest + allowance()).await;
