--- a/examples/demo/api_client.rs
+++ b/examples/demo/api_client.rs
@@ -73,9 +73,8 @@
             body.len()
         );
         stream.write_all(request.as_bytes()).await?;
-        let Response { head, body } =
-            read_response(&mut Buffer::default(), &mut stream, MAX_BODY_BYTES).await?;
-        Ok(Response::new(&head, &body))
+        let response = read_response(&mut Buffer::default(), &mut stream, MAX_BODY_BYTES).await?;
+        Ok(Response::new(&response.head, &response.body))
     }
 }
 
--- a/src/ops/exclusions.rs
+++ b/src/ops/exclusions.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether the exclusion still changes what the policy sees.
+    /// Whether it still changes the entries that the policy sees.
     fn is_in_effect(&self, now: Timestamp) -> bool {
         self.restored_at
             .is_none_or(|restored| now - restored < RESTORATION_MEMORY)
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A server's entry as the policy is to see it now; `None` if the list doesn't name the server.
+    /// The entry of a server that the policy sees now; `None` if the list doesn't name it.
     fn effective_entry(&self, replica: ReplicaId) -> Option<ReplicaEntry> {
         let mut entry = self.listed.get(&replica)?.clone();
         self.apply_to(&mut entry);
@@ -124,7 +124,7 @@
         self.ever_listed.get(&replica).is_some() || self.exclusions.contains_key(&replica)
     }
 
-    /// Excludes a server; its entry as the policy is to see it now, if the server is listed.
+    /// Excludes a server. Returns the entry that the policy sees from now on, if it is listed.
     pub fn exclude(
         &mut self,
         replica: ReplicaId,
@@ -142,7 +142,7 @@
         self.effective_entry(replica)
     }
 
-    /// Restores a server; its entry as the policy is to see it now, if the server is listed.
+    /// Restores a server. Returns the entry that the policy sees from now on, if it is listed.
     pub fn restore(&mut self, replica: ReplicaId, now: Timestamp) -> Option<ReplicaEntry> {
         let exclusion = self.exclusions.get_mut(&replica)?;
         let start_is_listed = self
