--- a/src/batch/line.rs
+++ b/src/batch/line.rs
@@ -7,4 +7,4 @@
 
 pub use error::LineError;
 pub use outcome::LineOutcome;
-pub use request::{LineRequest, SharedPrefix, find_custom_id};
+pub use request::{LineRequest, find_custom_id};
--- a/src/batch/line/request.rs
+++ b/src/batch/line/request.rs
@@ -9,23 +9,11 @@
 use super::error::{LineError, MAX_CUSTOM_ID_BYTES};
 use crate::api::ApiError;
 use crate::core::{Payload, Request, RequestAttributes};
-use crate::edge::ChatBody;
-use crate::interface::stable_hash;
+use crate::edge::{ChatBody, SharedPrefix, prompt_tokens, shared_prefix};
 use crate::net::upstream::payload;
 
 /// The token limit of an answer whose line sets none.
 const DEFAULT_MAX_OUTPUT_TOKENS: u32 = 500;
-/// Characters in a token, as the platform estimates them.
-const CHARS_PER_TOKEN: usize = 4;
-
-/// The prompt prefix that a line shares with others: its system message.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SharedPrefix {
-    /// The hash of its text.
-    pub hash: u64,
-    /// Its length in tokens, estimated.
-    pub tokens: u32,
-}
 
 /// The request of a line.
 #[derive(Clone, Debug)]
@@ -92,8 +80,7 @@
             let message = "body.messages must be a list of messages";
             return Err(LineError::InvalidBody(message.into()));
         };
-        let prompt_chars = messages.iter().map(|m| message_text(m).chars().count());
-        let prompt_tokens = estimate_tokens(prompt_chars.sum());
+        let prompt_tokens = prompt_tokens(messages);
         let shared_prefix = shared_prefix(messages);
         let model = body.get("model").filter(|model| model.is_string());
         let model = model.cloned().unwrap_or_default();
@@ -140,22 +127,6 @@
     }
 }
 
-/// The prefix of a conversation: the text of a system message at its start.
-fn shared_prefix(messages: &[Value]) -> Option<SharedPrefix> {
-    let first = messages.first()?;
-    if !matches!(first["role"].as_str(), Some("system" | "developer")) {
-        return None;
-    }
-    let text = message_text(first);
-    if text.is_empty() {
-        return None;
-    }
-    Some(SharedPrefix {
-        hash: stable_hash(&text),
-        tokens: estimate_tokens(text.chars().count()),
-    })
-}
-
 fn max_output_tokens(body: &Map<String, Value>) -> u32 {
     let limit = ["max_tokens", "max_completion_tokens"]
         .iter()
@@ -164,16 +135,3 @@
         tokens.min(u32::MAX.into()) as u32
     })
 }
-
-fn estimate_tokens(chars: usize) -> u32 {
-    chars.div_ceil(CHARS_PER_TOKEN).clamp(1, u32::MAX as usize) as u32
-}
-
-/// The text of a message, whose content is a string or a list of parts.
-fn message_text(message: &Value) -> String {
-    match &message["content"] {
-        Value::String(text) => text.clone(),
-        Value::Array(parts) => parts.iter().filter_map(|p| p["text"].as_str()).collect(),
-        _ => String::new(),
-    }
-}
--- a/src/edge/chat_body.rs
+++ b/src/edge/chat_body.rs
@@ -3,19 +3,10 @@
 
 use serde_json::{Map, Value, json};
 
-use super::usage_meter::estimate_tokens;
+use super::prompt::{SharedPrefix, prompt_tokens, shared_prefix};
 use crate::api::ApiError;
 use crate::interface::stable_hash;
 
-/// The opening of a prompt (the system or developer message) that other requests share.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SharedPrefix {
-    /// A hash of its text.
-    pub hash: u64,
-    /// Its estimated tokens.
-    pub tokens: u32,
-}
-
 /// A validated chat request, as its client sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChatBody {
@@ -61,7 +52,7 @@
         let include_usage = read_flag(include_usage, "stream_options")?;
         Ok(ChatBody {
             model,
-            prompt_tokens: token_count(messages.iter().map(text_chars).sum()),
+            prompt_tokens: prompt_tokens(messages),
             shared_prefix: shared_prefix(messages),
             max_output_tokens,
             stream,
@@ -150,18 +141,6 @@
     }
 }
 
-fn shared_prefix(messages: &[Value]) -> Option<SharedPrefix> {
-    let opening = messages.first()?;
-    if !matches!(opening["role"].as_str(), Some("system" | "developer")) {
-        return None;
-    }
-    let text = text_parts(opening).concat();
-    (!text.is_empty()).then(|| SharedPrefix {
-        hash: stable_hash(&text),
-        tokens: token_count(text.chars().count()),
-    })
-}
-
 /// What names the conversation: the key for the prompt cache, otherwise the user.
 fn session(object: &Map<String, Value>) -> Option<u64> {
     let name = ["prompt_cache_key", "user"]
@@ -170,29 +149,5 @@
     name.map(stable_hash)
 }
 
-/// The estimated tokens of so many characters; at least 1.
-fn token_count(chars: usize) -> u32 {
-    u32::try_from(estimate_tokens(chars as u64))
-        .unwrap_or(u32::MAX)
-        .max(1)
-}
-
-/// The text of a message, whose content is a string or a list of parts.
-fn text_parts(message: &Value) -> Vec<&str> {
-    match &message["content"] {
-        Value::String(text) => vec![text],
-        Value::Array(parts) => parts
-            .iter()
-            .filter_map(|part| part["text"].as_str())
-            .collect(),
-        _ => Vec::new(),
-    }
-}
-
-fn text_chars(message: &Value) -> usize {
-    let parts = text_parts(message);
-    parts.iter().map(|text| text.chars().count()).sum()
-}
-
 #[cfg(test)]
 mod tests;
