--- a/tests/batch/service.rs
+++ b/tests/batch/service.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::common::folder::Folder;
-use crate::common::peers::{Client, Got, Router, batch_options, config, start};
+use crate::common::peers::{Client, Got, Router, batch_options, config, router_options, start};
 
 /// A line with this `custom_id`; its prompt says the same, so that servers can tell lines apart.
 pub fn line(id: &str) -> String {
@@ -116,7 +116,7 @@
 
 /// Starts a router with the batch service.
 pub async fn start_router(config: Config, folder: &Folder) -> Router {
-    start(router_options(config, folder)).await
+    start(options_with_batch(config, folder)).await
 }
 
 /// Starts a router with nothing but the batch service, on an inventory.
@@ -125,18 +125,15 @@
     config.listen = None;
     start(RouterOptions {
         inventory: Some(inventory.to_path_buf()),
-        ..router_options(config, folder)
+        ..options_with_batch(config, folder)
     })
     .await
 }
 
-fn router_options(config: Config, folder: &Folder) -> RouterOptions {
+/// The options of a router with the batch service and nothing else.
+fn options_with_batch(config: Config, folder: &Folder) -> RouterOptions {
     RouterOptions {
-        config,
         batch: Some(batch_options(&folder.path("spool"))),
-        edge: None,
-        inventory: None,
-        config_file: None,
-        inherited: None,
+        ..router_options(config)
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,6 +6,7 @@
 pub mod bystander;
 pub mod client;
 pub mod counting_allocator;
+pub mod edge_router;
 pub mod fleet;
 pub mod folder;
 pub mod gateway;
--- a/tests/edge/fixture.rs
+++ b/tests/edge/fixture.rs
@@ -4,10 +4,9 @@
 
 use fake_servers::{ModelServer, RequestLog, ServerOptions};
 use serde_json::{Value, json};
-use stilespan::config::Config;
-use stilespan::router::RouterOptions;
 use tokio::time::{Instant, sleep};
 
+use crate::common::edge_router::{edge_router_options, inventory_csv};
 use crate::common::folder::Folder;
 use crate::common::peers::*;
 use crate::config_files::{api_key, edge_file, keys_file};
@@ -52,22 +51,9 @@
         }
         std::fs::write(folder.path("edge.toml"), edge_file(nodes)).unwrap();
         std::fs::write(folder.path("keys.toml"), keys_file(nodes)).unwrap();
-        let rows: String = servers
-            .iter()
-            .enumerate()
-            .map(|(k, server)| format!("s{k},{}\n", server.address))
-            .collect();
-        std::fs::write(folder.path("hosts.csv"), format!("name,address\n{rows}")).unwrap();
-        let router_options = RouterOptions {
-            config: Config::standalone(),
-            batch: Some(batch_options(&folder.path("spool"))),
-            edge: Some(folder.path("edge.toml")),
-            inventory: Some(folder.path("hosts.csv")),
-            config_file: None,
-            inherited: None,
-        };
+        std::fs::write(folder.path("hosts.csv"), inventory_csv(&servers)).unwrap();
         let fixture = EdgeFixture {
-            router: start(router_options).await,
+            router: start(edge_router_options(&folder)).await,
             servers,
             request_log,
             folder,
--- a/tests/edge_load/config_files.rs
+++ b/tests/edge_load/config_files.rs
@@ -4,6 +4,7 @@
 use fake_servers::ModelServer;
 use stilespan::identity;
 
+use crate::common::edge_router::inventory_csv;
 use crate::common::folder::Folder;
 
 /// The tenants, by the names of their nodes below `d`.
@@ -48,14 +49,9 @@
 
 /// Writes the edge's file, the keys' file and an inventory of these servers.
 pub fn write_files(folder: &Folder, servers: &[ModelServer]) {
-    let rows: String = servers
-        .iter()
-        .enumerate()
-        .map(|(k, server)| format!("s{k},{}\n", server.address))
-        .collect();
     std::fs::write(folder.path("edge.toml"), edge_file()).unwrap();
     std::fs::write(folder.path("keys.toml"), keys_file()).unwrap();
-    std::fs::write(folder.path("hosts.csv"), format!("name,address\n{rows}")).unwrap();
+    std::fs::write(folder.path("hosts.csv"), inventory_csv(servers)).unwrap();
 }
 
 fn edge_file() -> String {
--- a/tests/edge_load/ledger_agreement.rs
+++ b/tests/edge_load/ledger_agreement.rs
@@ -8,10 +8,9 @@
 
 use fake_servers::{Attempt, AttemptState, Fault, ModelServer, RequestLog, ServerOptions};
 use serde_json::json;
-use stilespan::config::Config;
-use stilespan::router::RouterOptions;
 use tokio::time::sleep;
 
+use crate::common::edge_router::edge_router_options;
 use crate::common::folder::Folder;
 use crate::common::peers::*;
 use crate::config_files::{MODELS, SHORT_TENANT, TENANTS, api_key, write_files};
@@ -115,15 +114,7 @@
 }
 
 async fn start_router(folder: &Folder) -> Router {
-    let options = RouterOptions {
-        config: Config::standalone(),
-        batch: Some(batch_options(&folder.path("spool"))),
-        edge: Some(folder.path("edge.toml")),
-        inventory: Some(folder.path("hosts.csv")),
-        config_file: None,
-        inherited: None,
-    };
-    let router = start(options).await;
+    let router = start(edge_router_options(folder)).await;
     sleep(Duration::from_millis(400)).await;
     router
 }
