--- a/benches/edge/load.rs
+++ b/benches/edge/load.rs
@@ -52,8 +52,7 @@
     async fn send(&mut self, request: &str) -> u16 {
         self.stream.write_all(request.as_bytes()).await.unwrap();
         let response = read_response(&mut self.buffer, &mut self.stream, MAX_ANSWER_BYTES).await;
-        let (head, _) = response.unwrap();
-        head.status
+        response.unwrap().head.status
     }
 }
 
--- a/examples/demo/api_client.rs
+++ b/examples/demo/api_client.rs
@@ -1,7 +1,7 @@
 //! A client of the router's HTTP APIs.
 
 use serde_json::Value;
-use stilespan::net::http::{Buffer, Head, read_response};
+use stilespan::net::http::{Buffer, CompleteResponse, read_response};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -73,9 +73,8 @@
             body.len()
         );
         stream.write_all(request.as_bytes()).await?;
-        let (head, body) =
-            read_response(&mut Buffer::default(), &mut stream, MAX_BODY_BYTES).await?;
-        Ok(Response::new(&head, &body))
+        let response = read_response(&mut Buffer::default(), &mut stream, MAX_BODY_BYTES).await?;
+        Ok(Response::new(&response))
     }
 }
 
@@ -88,7 +87,7 @@
 }
 
 impl Response {
-    fn new(head: &Head, body: &[u8]) -> Response {
+    fn new(CompleteResponse { head, body }: &CompleteResponse) -> Response {
         let is_printed = |name: &str| {
             PRINTED_HEADERS
                 .iter()
--- a/src/commands/budgets.rs
+++ b/src/commands/budgets.rs
@@ -8,8 +8,8 @@
 use tokio::time::timeout;
 
 use super::{BudgetsError, CommandError};
-use crate::net::http::read_response;
 use crate::net::http::{self, Buffer};
+use crate::net::http::{CompleteResponse, read_response};
 use crate::net::stream::Stream;
 
 /// The most bytes of an answer; each node of a large tree has a line in it.
@@ -57,7 +57,8 @@
          Connection: close\r\n\r\n"
     );
     stream.write_all(request.as_bytes()).await?;
-    let (head, body) = read_response(&mut Buffer::default(), &mut stream, MAX_ANSWER_BYTES).await?;
+    let CompleteResponse { head, body } =
+        read_response(&mut Buffer::default(), &mut stream, MAX_ANSWER_BYTES).await?;
     Ok(Answer {
         status: head.status,
         body,
--- a/src/edge/model_discovery/poll.rs
+++ b/src/edge/model_discovery/poll.rs
@@ -10,7 +10,7 @@
 use tracing::info;
 
 use crate::net::connection_limit::ConnectionLimit;
-use crate::net::http::{Buffer, HttpError, read_response};
+use crate::net::http::{Buffer, CompleteResponse, HttpError, read_response};
 use crate::net::stream::Stream;
 
 /// How long a poll may take, including the wait for a connection.
@@ -69,7 +69,8 @@
         format!("GET /v1/models HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).await?;
     let mut buffer = Buffer::default();
-    let (head, body) = read_response(&mut buffer, &mut stream, MAX_BODY_BYTES).await?;
+    let CompleteResponse { head, body } =
+        read_response(&mut buffer, &mut stream, MAX_BODY_BYTES).await?;
     if head.status != 200 {
         return Err(PollError::Status(head.status));
     }
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 use super::endpoint_list::EndpointList;
-use crate::net::http::{Buffer, HttpError, read_response};
+use crate::net::http::{Buffer, CompleteResponse, HttpError, read_response};
 use crate::net::stream::Stream;
 
 /// How long discovery may delay its answer to a long poll until there is a change. Short: a list
@@ -110,7 +110,7 @@
             .write_all(request.as_bytes())
             .await
             .map_err(HttpError::from)?;
-        let (head, body) = read_response(buffer, stream, MAX_LIST_BYTES).await?;
+        let CompleteResponse { head, body } = read_response(buffer, stream, MAX_LIST_BYTES).await?;
         if head.status != 200 {
             return Err(PollError::Status {
                 status: head.status,
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -21,7 +21,7 @@
 pub use events::FirstEventDetector;
 pub use head::{Framing, Head};
 pub use parse::{request_head_length, take_request_head};
-pub use response::{read_response, read_response_head};
+pub use response::{CompleteResponse, read_response, read_response_head};
 
 /// The largest body of a request, in bytes.
 pub const MAX_BODY_BYTES: usize = 256 << 10;
--- a/src/net/http/response.rs
+++ b/src/net/http/response.rs
@@ -7,16 +7,25 @@
 use super::parse::take_response_head;
 use super::{Body, Buffer, Head, HttpError, PARTIAL_MESSAGE_TIMEOUT};
 
+/// A response that was read completely.
+#[derive(Clone, Debug)]
+pub struct CompleteResponse {
+    /// Its status and headers.
+    pub head: Head,
+    /// Its body, without transfer coding.
+    pub body: Bytes,
+}
+
 /// Reads one response completely, up to `max_bytes` of body. The caller limits the time.
 pub async fn read_response(
     buffer: &mut Buffer,
     from: &mut (impl AsyncRead + Unpin),
     max_bytes: usize,
-) -> Result<(Head, Bytes), HttpError> {
+) -> Result<CompleteResponse, HttpError> {
     let head = read_response_head(buffer, from).await?;
     let mut body = Body::new(head.framing(true)?);
-    let bytes = body.read_to_end(buffer, from, max_bytes).await?;
-    Ok((head, bytes))
+    let body = body.read_to_end(buffer, from, max_bytes).await?;
+    Ok(CompleteResponse { head, body })
 }
 
 /// Reads a response's head. The wait for its first byte is the caller's to limit; the rest must
