--- a/src/batch/jobs/tests.rs
+++ b/src/batch/jobs/tests.rs
@@ -110,14 +110,7 @@
     /// The lines of the batch's result that were counted.
     async fn outcomes(&self, batch: &Value) -> Vec<Value> {
         let id = batch["output_file_id"].as_str().unwrap();
-        let stored = self.store().read(id).await.unwrap();
-        let mut text = String::new();
-        stored
-            .file
-            .take(stored.info.bytes)
-            .read_to_string(&mut text)
-            .await
-            .unwrap();
+        let text = self.store().read(id).await.unwrap().text().await;
         text.lines()
             .map(|line| serde_json::from_str(line).unwrap())
             .collect()
--- a/src/batch/store/tests.rs
+++ b/src/batch/store/tests.rs
@@ -29,17 +29,22 @@
     store.create(new).await.unwrap()
 }
 
+impl StoredFile {
+    /// Its content, without what a failed write left behind it.
+    pub(in crate::batch) async fn text(self) -> String {
+        let mut text = String::new();
+        self.file
+            .take(self.info.bytes)
+            .read_to_string(&mut text)
+            .await
+            .unwrap();
+        text
+    }
+}
+
 /// The content that readers get.
 async fn content(store: &Store, id: &str) -> String {
-    let stored = store.read(id).await.unwrap();
-    let mut text = String::new();
-    stored
-        .file
-        .take(stored.info.bytes)
-        .read_to_string(&mut text)
-        .await
-        .unwrap();
-    text
+    store.read(id).await.unwrap().text().await
 }
 
 #[rstest]
