--- a/examples/demo/api_client.rs
+++ b/examples/demo/api_client.rs
@@ -1,7 +1,7 @@
 //! A client of the router's HTTP APIs.
 
 use serde_json::Value;
-use stilespan::net::http::{Buffer, Head, read_response};
+use stilespan::net::http::{self, Buffer, read_response};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -74,7 +74,7 @@
         );
         stream.write_all(request.as_bytes()).await?;
         let response = read_response(&mut Buffer::default(), &mut stream, MAX_BODY_BYTES).await?;
-        Ok(Response::new(&response.head, &response.body))
+        Ok(Response::new(&response))
     }
 }
 
@@ -87,7 +87,7 @@
 }
 
 impl Response {
-    fn new(head: &Head, body: &[u8]) -> Response {
+    fn new(http::Response { head, body }: &http::Response) -> Response {
         let is_printed = |name: &str| {
             PRINTED_HEADERS
                 .iter()
