--- a/src/core/actor/maintenance.rs
+++ b/src/core/actor/maintenance.rs
@@ -36,14 +36,16 @@
         }
         let at = Instant::now();
         let now = self.clock.time_at(at);
-        let (entry, done) = match action {
-            MaintenanceAction::Exclude => (
-                self.exclusions.exclude(replica, &name, now),
-                "excluded from routing",
-            ),
-            MaintenanceAction::Restore => (self.exclusions.restore(replica, now), "restored"),
+        let entry = match action {
+            MaintenanceAction::Exclude => {
+                info!("{name}: excluded from routing");
+                self.exclusions.exclude(replica, &name, now)
+            }
+            MaintenanceAction::Restore => {
+                info!("{name}: restored");
+                self.exclusions.restore(replica, now)
+            }
         };
-        info!("{name}: {done}");
         if let Some(entry) = entry {
             self.events.push(Event::EndpointsUpdated {
                 kind: EndpointListKind::Partial,
@@ -51,7 +53,7 @@
             });
         }
         if action == MaintenanceAction::Exclude {
-            self.cancel_unstarted(|at| at == replica, at);
+            self.cancel_unstarted(|attempt_replica| attempt_replica == replica, at);
         }
         self.fleet_published_at = None;
         self.maintenance_replies.push(MaintenanceReply {
--- a/src/core/start_times/tests.rs
+++ b/src/core/start_times/tests.rs
@@ -35,6 +35,24 @@
     entries.iter().map(|entry| entry.started_at).collect()
 }
 
+/// The corrected starts of the entries of a partial list.
+fn partial(
+    starts: &mut StartTimes,
+    entries: &[(u64, Timestamp)],
+    now: Timestamp,
+) -> Vec<Timestamp> {
+    corrected(starts, EndpointListKind::Partial, entries, now)
+}
+
+/// The corrected starts of the entries of a complete list.
+fn complete(
+    starts: &mut StartTimes,
+    entries: &[(u64, Timestamp)],
+    now: Timestamp,
+) -> Vec<Timestamp> {
+    corrected(starts, EndpointListKind::Complete, entries, now)
+}
+
 /// Start times after a complete list of three servers that are fully warmed up.
 fn warmed_up() -> StartTimes {
     let mut starts = StartTimes::default();
@@ -43,10 +61,7 @@
         (2, Timestamp::from_micros(BEGIN - 9 * HOUR)),
         (3, Timestamp::from_micros(BEGIN - 8 * HOUR)),
     ];
-    assert_eq!(
-        corrected(&mut starts, EndpointListKind::Complete, &list, at(0)),
-        list.map(|l| l.1)
-    );
+    assert_eq!(complete(&mut starts, &list, at(0)), list.map(|l| l.1));
     starts
 }
 
@@ -54,78 +69,27 @@
 fn join_hour_ahead_starts_now() {
     let mut starts = warmed_up();
     let stated = at(3_598);
-    assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Partial,
-            &[(4, stated)],
-            at(5)
-        ),
-        [at(5)]
-    );
+    assert_eq!(partial(&mut starts, &[(4, stated)], at(5)), [at(5)]);
     // its age counts from there on, also in a complete list
-    assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Partial,
-            &[(4, stated)],
-            at(30)
-        ),
-        [at(5)]
-    );
-    assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Complete,
-            &[(4, stated)],
-            at(60)
-        ),
-        [at(5)]
-    );
+    assert_eq!(partial(&mut starts, &[(4, stated)], at(30)), [at(5)]);
+    assert_eq!(complete(&mut starts, &[(4, stated)], at(60)), [at(5)]);
 }
 
 #[test]
 fn join_hour_behind_starts_now() {
     let mut starts = warmed_up();
     let stated = Timestamp::from_micros(BEGIN - HOUR);
-    assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Partial,
-            &[(4, stated)],
-            at(5)
-        ),
-        [at(5)]
-    );
-    assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Partial,
-            &[(4, stated)],
-            at(30)
-        ),
-        [at(5)]
-    );
+    assert_eq!(partial(&mut starts, &[(4, stated)], at(5)), [at(5)]);
+    assert_eq!(partial(&mut starts, &[(4, stated)], at(30)), [at(5)]);
 }
 
 #[test]
 fn restart_at_same_name_is_join() {
     let mut starts = warmed_up();
     let again = Timestamp::from_micros(BEGIN - HOUR);
-    assert_eq!(
-        corrected(&mut starts, EndpointListKind::Partial, &[(2, again)], at(5)),
-        [at(5)]
-    );
+    assert_eq!(partial(&mut starts, &[(2, again)], at(5)), [at(5)]);
     let once_more = Timestamp::from_micros(BEGIN - HOUR + 60 * SECOND);
-    assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Partial,
-            &[(2, once_more)],
-            at(65)
-        ),
-        [at(65)]
-    );
+    assert_eq!(partial(&mut starts, &[(2, once_more)], at(65)), [at(65)]);
 }
 
 #[test]
@@ -141,18 +105,13 @@
         at(5),
     );
     // the third leaves by a complete list that doesn't name it
-    corrected(
-        &mut starts,
-        EndpointListKind::Complete,
-        &[(1, Timestamp::ZERO)],
-        at(10),
-    );
+    complete(&mut starts, &[(1, Timestamp::ZERO)], at(10));
     let returning = [
         (2, Timestamp::from_micros(BEGIN - 9 * HOUR)),
         (3, Timestamp::from_micros(BEGIN - 8 * HOUR)),
     ];
     assert_eq!(
-        corrected(&mut starts, EndpointListKind::Partial, &returning, at(60)),
+        partial(&mut starts, &returning, at(60)),
         returning.map(|b| b.1)
     );
 }
@@ -160,32 +119,13 @@
 #[test]
 fn joins_after_failed_calls_stay() {
     let mut starts = warmed_up();
-    corrected(&mut starts, EndpointListKind::Partial, &[], at(100));
+    partial(&mut starts, &[], at(100));
     corrected(&mut starts, EndpointListKind::Error, &[], at(105));
     let joined = [(4, at(120))];
-    assert_eq!(
-        corrected(&mut starts, EndpointListKind::Complete, &joined, at(300)),
-        [at(120)]
-    );
+    assert_eq!(complete(&mut starts, &joined, at(300)), [at(120)]);
     // discovery itself may still be behind
-    assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Partial,
-            &[(5, at(299))],
-            at(325)
-        ),
-        [at(299)]
-    );
+    assert_eq!(partial(&mut starts, &[(5, at(299))], at(325)), [at(299)]);
     // once it has caught up, so old a start can't be right
-    corrected(&mut starts, EndpointListKind::Partial, &[], at(331));
-    assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Partial,
-            &[(6, at(319))],
-            at(340)
-        ),
-        [at(340)]
-    );
+    partial(&mut starts, &[], at(331));
+    assert_eq!(partial(&mut starts, &[(6, at(319))], at(340)), [at(340)]);
 }
--- a/src/core/start_times/tests/lists.rs
+++ b/src/core/start_times/tests/lists.rs
@@ -13,14 +13,8 @@
         at(0),
     );
     let old = Timestamp::from_micros(BEGIN - HOUR);
-    assert_eq!(
-        corrected(&mut starts, EndpointListKind::Partial, &[(2, old)], at(1)),
-        [old]
-    );
-    assert_eq!(
-        corrected(&mut starts, EndpointListKind::Partial, &[(3, old)], at(2)),
-        [at(2)]
-    );
+    assert_eq!(partial(&mut starts, &[(2, old)], at(1)), [old]);
+    assert_eq!(partial(&mut starts, &[(3, old)], at(2)), [at(2)]);
 }
 
 /// An update that repeats known entries, as changes of their models do, does not come from
@@ -29,23 +23,10 @@
 fn repeated_entries_bound_nothing() {
     let mut starts = warmed_up();
     assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Partial,
-            &[(1, Timestamp::ZERO)],
-            at(100)
-        ),
+        partial(&mut starts, &[(1, Timestamp::ZERO)], at(100)),
         [Timestamp::ZERO]
     );
-    assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Partial,
-            &[(4, at(50))],
-            at(101)
-        ),
-        [at(50)]
-    );
+    assert_eq!(partial(&mut starts, &[(4, at(50))], at(101)), [at(50)]);
 }
 
 /// A change that only removes servers shows that the list is up to date.
@@ -61,15 +42,7 @@
         std::iter::once(&mut terminated),
         at(100),
     );
-    assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Partial,
-            &[(4, at(50))],
-            at(101)
-        ),
-        [at(101)]
-    );
+    assert_eq!(partial(&mut starts, &[(4, at(50))], at(101)), [at(101)]);
 }
 
 #[test]
@@ -87,20 +60,9 @@
         Timestamp::from_micros(BEGIN - 10 * SECOND),
         Timestamp::from_micros(BEGIN - 2 * HOUR),
     ];
-    assert_eq!(
-        corrected(&mut starts, EndpointListKind::Complete, &list, at(0)),
-        expected
-    );
+    assert_eq!(complete(&mut starts, &list, at(0)), expected);
     // later joins are by the same clock
-    assert_eq!(
-        corrected(
-            &mut starts,
-            EndpointListKind::Partial,
-            &[(5, at(3_604))],
-            at(5)
-        ),
-        [at(4)]
-    );
+    assert_eq!(partial(&mut starts, &[(5, at(3_604))], at(5)), [at(4)]);
 }
 
 /// Another service's list, say: its servers have not all restarted at once.
@@ -112,18 +74,12 @@
         (6, Timestamp::from_micros(BEGIN - 2 * HOUR)),
         (1, Timestamp::ZERO),
     ];
-    assert_eq!(
-        corrected(&mut starts, EndpointListKind::Complete, &others, at(50)),
-        others.map(|o| o.1)
-    );
+    assert_eq!(complete(&mut starts, &others, at(50)), others.map(|o| o.1));
     // one among those that are known is taken for a join
     let one = [
         (5, Timestamp::from_micros(BEGIN - 3 * HOUR)),
         (6, Timestamp::from_micros(BEGIN - 2 * HOUR)),
         (7, Timestamp::from_micros(BEGIN - HOUR)),
     ];
-    assert_eq!(
-        corrected(&mut starts, EndpointListKind::Complete, &one, at(60))[2],
-        at(60)
-    );
+    assert_eq!(complete(&mut starts, &one, at(60))[2], at(60));
 }
