--- a/src/edge/answer_stream.rs
+++ b/src/edge/answer_stream.rs
@@ -90,10 +90,10 @@
     /// Cancel safe.
     pub async fn next(&mut self) -> StreamItem {
         loop {
-            let mut out = BytesMut::new();
-            self.take_events(&mut out);
-            if !out.is_empty() {
-                return StreamItem::Data(out.freeze());
+            let mut output = BytesMut::new();
+            self.take_events(&mut output);
+            if !output.is_empty() {
+                return StreamItem::Data(output.freeze());
             }
             if let Some(end) = self.end {
                 return end.into();
@@ -101,10 +101,10 @@
             match self.chunks.recv().await {
                 Some(Chunk::Data(bytes)) => self.meter.feed(&bytes),
                 Some(Chunk::Complete) => {
-                    let mut out = BytesMut::new();
-                    self.complete(&mut out);
-                    if !out.is_empty() {
-                        return StreamItem::Data(out.freeze());
+                    let mut output = BytesMut::new();
+                    self.complete(&mut output);
+                    if !output.is_empty() {
+                        return StreamItem::Data(output.freeze());
                     }
                 }
                 Some(Chunk::Broken) | None => self.finish(StreamEnd::Broken),
@@ -113,10 +113,10 @@
     }
 
     /// Forwards the complete events that have come.
-    fn take_events(&mut self, out: &mut BytesMut) {
+    fn take_events(&mut self, output: &mut BytesMut) {
         while self.end.is_none() {
             match self.meter.next_event() {
-                Ok(Some(event)) => self.forward(&event, out),
+                Ok(Some(event)) => self.forward(&event, output),
                 Ok(None) => return,
                 Err(error) => {
                     warn!(parent: &self.span, "{error}; the answer is broken off");
@@ -127,9 +127,9 @@
     }
 
     /// Forwards what remains at the end of a complete stream.
-    fn complete(&mut self, out: &mut BytesMut) {
+    fn complete(&mut self, output: &mut BytesMut) {
         if let Some(event) = self.meter.take_remainder() {
-            self.forward(&event, out);
+            self.forward(&event, output);
         }
         if self.end.is_none() {
             self.finish(StreamEnd::Complete);
@@ -137,26 +137,26 @@
     }
 
     /// Forwards an event if the budgets have capacity for it; otherwise cuts the answer off.
-    fn forward(&mut self, event: &StreamEvent, out: &mut BytesMut) {
+    fn forward(&mut self, event: &StreamEvent, output: &mut BytesMut) {
         if event.chars > 0 {
             let output_tokens = self.meter.counted_output_tokens();
             let slice = self.options.output_slice;
             if let Err(exceeded) = self.reservation.extend_to(output_tokens, slice) {
                 self.meter.discard(event);
-                return self.cut_off(&exceeded, out);
+                return self.cut_off(&exceeded, output);
             }
         }
         self.reservation
             .record_forwarded(self.meter.counted_output_tokens());
         // the router requests the usage for itself, whether or not the client did
         if !event.usage_only || self.options.include_usage {
-            out.extend_from_slice(&event.bytes);
+            output.extend_from_slice(&event.bytes);
         }
     }
 
     /// Ends the answer where its budget does: the client gets a proper end with the reason, and the
     /// attempt is cancelled.
-    fn cut_off(&mut self, exceeded: &BudgetExceeded, out: &mut BytesMut) {
+    fn cut_off(&mut self, exceeded: &BudgetExceeded, output: &mut BytesMut) {
         let used = TokenUsage {
             prompt_tokens: self.reservation.prompt_tokens(),
             output_tokens: self.meter.counted_output_tokens(),
@@ -164,7 +164,7 @@
         let cutoff = BudgetCutoff::new(exceeded);
         let model = self.meter.reported_model().unwrap_or(self.model());
         cutoff.write_events(
-            out,
+            output,
             self.trace.id(),
             model,
             used,
--- a/src/edge/budget_cutoff.rs
+++ b/src/edge/budget_cutoff.rs
@@ -37,7 +37,7 @@
     /// and the end.
     pub(super) fn write_events(
         &self,
-        out: &mut BytesMut,
+        output: &mut BytesMut,
         trace: &str,
         model: &str,
         used: TokenUsage,
@@ -49,12 +49,12 @@
         let mut write_event = |choices: Value| {
             let event = json!({"id": format!("chatcmpl-{trace}"), "object": "chat.completion.chunk",
                 "model": model, "choices": choices, "usage": usage, "stilespan": self.to_json()});
-            out.extend_from_slice(format!("data: {event}\n\n").as_bytes());
+            output.extend_from_slice(format!("data: {event}\n\n").as_bytes());
         };
         write_event(json!([{"index": 0, "delta": {}, "finish_reason": "length"}]));
         if include_usage {
             write_event(json!([]));
         }
-        out.extend_from_slice(b"data: [DONE]\n\n");
+        output.extend_from_slice(b"data: [DONE]\n\n");
     }
 }
--- a/src/edge/config/budgets.rs
+++ b/src/edge/config/budgets.rs
@@ -127,8 +127,8 @@
     }
 
     fn refill_error(&self, raw: &RawBudget, problem: Problem) -> ConfigError {
-        let place = raw.refill.as_ref().map(Spanned::span).unwrap_or_default();
-        self.file.error(place, problem)
+        let byte_range = raw.refill.as_ref().map(Spanned::span).unwrap_or_default();
+        self.file.error(byte_range, problem)
     }
 }
 
--- a/src/edge/config/models.rs
+++ b/src/edge/config/models.rs
@@ -25,12 +25,12 @@
         return Err(file.error(0..0, Problem::NoModels));
     }
     Catalog::build(&specs, &aliases, &prices, numbers).map_err(|error| {
-        let (place, problem) = match error {
+        let (byte_range, problem) = match error {
             CatalogError::Model { index, problem } => (raw.models[index].span(), problem.into()),
             CatalogError::Alias { index, problem } => (raw.aliases[index].span(), problem.into()),
             CatalogError::Price { index, problem } => (raw.prices[index].span(), problem.into()),
         };
-        file.error(place, problem)
+        file.error(byte_range, problem)
     })
 }
 
--- a/src/edge/config/nodes.rs
+++ b/src/edge/config/nodes.rs
@@ -55,8 +55,8 @@
             table.add_node(file, node.get_ref(), &budgets, catalog)?;
         }
         table.tree.check().map_err(|error| {
-            let place = raw.nodes[error.node].span();
-            file.error(place, error.problem.into())
+            let byte_range = raw.nodes[error.node].span();
+            file.error(byte_range, error.problem.into())
         })?;
         Ok(table)
     }
--- a/src/edge/config/source_file.rs
+++ b/src/edge/config/source_file.rs
@@ -18,8 +18,8 @@
 
 impl SourceFile<'_> {
     /// The error for a problem at a place of the text, a range of bytes.
-    pub(super) fn error(&self, place: Range<usize>, problem: Problem) -> ConfigError {
-        let before = self.text.get(..place.start).unwrap_or_default();
+    pub(super) fn error(&self, byte_range: Range<usize>, problem: Problem) -> ConfigError {
+        let before = self.text.get(..byte_range.start).unwrap_or_default();
         let line = 1 + before.bytes().filter(|byte| *byte == b'\n').count();
         ConfigError::malformed(self.path, format!("line {line}: {problem}"))
     }
@@ -27,8 +27,8 @@
     /// The file's values.
     pub(super) fn parse<T: DeserializeOwned>(&self) -> Result<T, ConfigError> {
         toml::from_str(self.text).map_err(|error| {
-            let place = error.span().unwrap_or_default();
-            self.error(place, Problem::Syntax(error))
+            let byte_range = error.span().unwrap_or_default();
+            self.error(byte_range, Problem::Syntax(error))
         })
     }
 
--- a/src/edge/listings.rs
+++ b/src/edge/listings.rs
@@ -77,6 +77,6 @@
     let unix_seconds = || Duration::from_micros(refills_at.as_micros()).as_secs();
     let refills_at = (refills_at < NEVER).then(unix_seconds);
     json!({"name": budget.name, "limit": status.limit.tokens_rounded_down(),
-        "used": status.spent.tokens_rounded_up(), "reserved": reserved.tokens_rounded_up(),
+        "used": status.used.tokens_rounded_up(), "reserved": reserved.tokens_rounded_up(),
         "refills_at": refills_at})
 }
--- a/src/edge/rejection.rs
+++ b/src/edge/rejection.rs
@@ -128,7 +128,7 @@
     let window = seconds_rounded_up(status.window);
     let available = status
         .limit
-        .saturating_sub(status.spent)
+        .saturating_sub(status.used)
         .saturating_sub(exceeded.reserved);
     let remaining = available.tokens_rounded_down();
     let reset = seconds_rounded_up(status.refills_at - now.wall);
--- a/src/edge/usage_meter.rs
+++ b/src/edge/usage_meter.rs
@@ -116,9 +116,10 @@
 
     /// The length of the buffer's first event, up to and including its blank line.
     fn event_length(&self) -> Option<usize> {
-        let rest = &self.buffer[self.searched..];
+        let unsearched = &self.buffer[self.searched..];
         let end_after = |blank_line: &[u8]| {
-            rest.windows(blank_line.len())
+            unsearched
+                .windows(blank_line.len())
                 .position(|window| window == blank_line)
                 .map(|start| start + blank_line.len())
         };
--- a/src/net/accept_errors.rs
+++ b/src/net/accept_errors.rs
@@ -84,7 +84,7 @@
     }
 
     /// Logs an error, and waits until the call is to be retried.
-    pub async fn pause(&mut self, error: &io::Error) {
+    pub async fn back_off(&mut self, error: &io::Error) {
         if let Some(omitted) = self.log.admit(Instant::now()) {
             warn!("{}: accept: {error}{omitted}", self.socket);
         }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -76,7 +76,7 @@
                 errors.reset();
                 connections.add(stream, &lifecycle);
             }
-            Err(error) => errors.pause(&error).await,
+            Err(error) => errors.back_off(&error).await,
         }
     }
 }
--- a/src/net/handover/successors.rs
+++ b/src/net/handover/successors.rs
@@ -48,7 +48,7 @@
                     errors.reset();
                     return Some(stream);
                 }
-                Err(error) => errors.pause(&error).await,
+                Err(error) => errors.back_off(&error).await,
             }
         }
     }
--- a/src/net/http/response.rs
+++ b/src/net/http/response.rs
@@ -39,8 +39,8 @@
         if buffer.is_empty() {
             buffer.fill_some(from).await?;
         }
-        let rest = read_begun_head(buffer, from, &mut interim_responses);
-        let read = timeout(PARTIAL_MESSAGE_TIMEOUT, rest).await;
+        let remaining_head = read_begun_head(buffer, from, &mut interim_responses);
+        let read = timeout(PARTIAL_MESSAGE_TIMEOUT, remaining_head).await;
         if let Some(head) = read.map_err(|_| HttpError::Timeout)?? {
             return Ok(head);
         }
--- a/src/net/listener/acceptor.rs
+++ b/src/net/listener/acceptor.rs
@@ -76,7 +76,7 @@
             match self.listener.accept().now_or_never() {
                 Some(Ok(stream)) => return self.admit(stream).await,
                 Some(Err(e)) => {
-                    self.errors.pause(&e).await;
+                    self.errors.back_off(&e).await;
                     continue;
                 }
                 None => self.queue_empty_at = Instant::now(),
@@ -98,7 +98,7 @@
                     self.queue_empty_at = Instant::now();
                     return self.admit(stream).await;
                 }
-                Err(e) => self.errors.pause(&e).await,
+                Err(e) => self.errors.back_off(&e).await,
             }
         }
         None
@@ -112,7 +112,7 @@
             match self.listener.accept_queued() {
                 Ok(stream) => return self.admit(stream).await,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return None,
-                Err(e) => self.errors.pause(&e).await,
+                Err(e) => self.errors.back_off(&e).await,
             }
         }
         None
--- a/src/net/listener/heartbeat.rs
+++ b/src/net/listener/heartbeat.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Stall {
     began: Instant,
-    ended: Instant,
+    ended_at: Instant,
 }
 
 impl Beats {
@@ -39,11 +39,11 @@
         if now.saturating_duration_since(self.last_beat) >= STALL_THRESHOLD {
             return Some(Stall {
                 began: self.last_beat,
-                ended: now,
+                ended_at: now,
             });
         }
         self.last_stall
-            .filter(|stall| now.saturating_duration_since(stall.ended) < STALL_AFTERMATH)
+            .filter(|stall| now.saturating_duration_since(stall.ended_at) < STALL_AFTERMATH)
     }
 }
 
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -37,12 +37,12 @@
             },
             Err(Interruption::ClientDisconnected | Interruption::CoreStopped) => return,
         };
-        let ended = CoreMessage::AttemptEnded {
+        let message = CoreMessage::AttemptEnded {
             id,
             at: Instant::now(),
             result,
         };
-        let _ = self.messages.send(ended).await;
+        let _ = self.messages.send(message).await;
         if let Some(LastChunk { chunks, chunk }) = last_chunk {
             let _ = chunks.send(chunk).await;
         }
--- a/src/policy/list_poll_timer.rs
+++ b/src/policy/list_poll_timer.rs
@@ -51,8 +51,9 @@
     /// consecutive failures, with jitter by a uniform draw from 0 to 1.
     pub(super) fn poll_failed(&mut self, uniform: f64, now: Timestamp) {
         self.consecutive_failures = (self.consecutive_failures + 1).min(MAX_DOUBLINGS);
-        let doubled = Span::from_micros(self.min_backoff.as_micros() << self.consecutive_failures);
-        let backoff = doubled.min(self.max_backoff);
+        let exponential =
+            Span::from_micros(self.min_backoff.as_micros() << self.consecutive_failures);
+        let backoff = exponential.min(self.max_backoff);
         let jittered = Span::from_secs_f64((0.5 + uniform / 2.0) * backoff.as_secs_f64());
         self.next = self.enabled.then_some(now + jittered);
     }
--- a/src/spend/budget_usage.rs
+++ b/src/spend/budget_usage.rs
@@ -1,4 +1,4 @@
-//! The usage of one budget of one node: how much of it is spent, and when more is available.
+//! The usage of one budget of one node: how much of it is used, and when more is available.
 
 mod calendar_budget;
 mod token_bucket;
@@ -27,8 +27,8 @@
 pub struct BudgetStatus {
     /// The limit.
     pub limit: MicroTokens,
-    /// The amount that is spent of it now, rounded up.
-    pub spent: MicroTokens,
+    /// The amount that is used of it now, rounded up.
+    pub used: MicroTokens,
     /// When the next period begins, or the bucket is full again, by the wall clock.
     pub refills_at: Timestamp,
     /// The length of the period, or the time from an empty bucket to a full one.
@@ -64,7 +64,7 @@
 }
 
 impl BudgetUsage {
-    /// A budget of which nothing is spent. The limit is divided evenly by the number of routers
+    /// A budget of which nothing is used. The limit is divided evenly by the number of routers
     /// that share it.
     pub fn new(limit: &BudgetLimit, instances: u32, now: ClockReading) -> BudgetUsage {
         let instances = u64::from(instances.max(1));
@@ -98,14 +98,14 @@
         }
     }
 
-    fn spent(&self) -> MicroTokens {
+    fn used(&self) -> MicroTokens {
         match self {
-            BudgetUsage::Calendar(budget) => budget.spent(),
-            BudgetUsage::Bucket(bucket) => bucket.spent(),
+            BudgetUsage::Calendar(budget) => budget.used(),
+            BudgetUsage::Bucket(bucket) => bucket.used(),
         }
     }
 
-    /// Checks that an amount is available beside what is spent and what is `reserved`.
+    /// Checks that an amount is available beside what is used and what is `reserved`.
     pub fn check_available(
         &self,
         amount: MicroTokens,
@@ -113,15 +113,15 @@
         now: ClockReading,
     ) -> Result<(), Insufficient> {
         let limit = self.limit();
-        let spent = self.spent();
+        let used = self.used();
         let is_within_limit = |taken: MicroTokens| taken.saturating_add(amount) <= limit;
-        if is_within_limit(spent.saturating_add(reserved)) {
+        if is_within_limit(used.saturating_add(reserved)) {
             return Ok(());
         }
         if amount > limit {
             return Err(Insufficient::AboveLimit);
         }
-        if is_within_limit(spent) {
+        if is_within_limit(used) {
             return Err(Insufficient::RetryAfter(RESERVATION_WAIT));
         }
         Err(Insufficient::RetryAfter(match self {
@@ -134,7 +134,7 @@
     /// budget stays within its limit beside `reserved`, the other reservations; returns what is not
     /// charged.
     pub fn charge(&mut self, used: UsedAmount, reserved: MicroTokens) -> MicroTokens {
-        let taken = self.spent().saturating_add(reserved);
+        let taken = self.used().saturating_add(reserved);
         let is_over_limit = taken.saturating_add(used.reserved) > self.limit();
         let total = used.reserved.saturating_add(used.excess);
         let charged = if is_over_limit { used.reserved } else { total };
@@ -145,7 +145,7 @@
         total - charged
     }
 
-    /// Takes over what an earlier budget of the same name had spent, where both are of the same
+    /// Takes over what an earlier budget of the same name had used, where both are of the same
     /// kind.
     pub fn inherit(&mut self, previous: &BudgetUsage) {
         match (self, previous) {
@@ -159,12 +159,12 @@
         }
     }
 
-    /// Restores a persisted state: the amount that was spent as of `spent_at` (Unix time). A period
+    /// Restores a persisted state: the amount that was used as of `as_of` (Unix time). A period
     /// that has ended since begins anew with the next [`BudgetUsage::advance`].
-    pub fn restore(&mut self, spent: MicroTokens, spent_at: Timestamp) {
+    pub fn restore(&mut self, used: MicroTokens, as_of: Timestamp) {
         match self {
-            BudgetUsage::Calendar(budget) => budget.restore(spent, spent_at),
-            BudgetUsage::Bucket(bucket) => bucket.restore(spent, spent_at),
+            BudgetUsage::Calendar(budget) => budget.restore(used, as_of),
+            BudgetUsage::Bucket(bucket) => bucket.restore(used, as_of),
         }
     }
 
--- a/src/spend/budget_usage/calendar_budget.rs
+++ b/src/spend/budget_usage/calendar_budget.rs
@@ -9,18 +9,18 @@
 pub(in crate::spend) struct CalendarBudget {
     limit: MicroTokens,
     period: Period,
-    spent: MicroTokens,
+    used: MicroTokens,
     /// The present period.
     present: PeriodBounds,
 }
 
 impl CalendarBudget {
-    /// A budget of which nothing is spent in the present period.
+    /// A budget of which nothing is used in the present period.
     pub fn new(limit: MicroTokens, period: &Period, now: ClockReading) -> CalendarBudget {
         CalendarBudget {
             limit,
             period: period.clone(),
-            spent: MicroTokens::ZERO,
+            used: MicroTokens::ZERO,
             present: period.bounds(now.wall),
         }
     }
@@ -30,9 +30,9 @@
         self.limit
     }
 
-    /// The amount that is spent in the present period.
-    pub fn spent(&self) -> MicroTokens {
-        self.spent
+    /// The amount that is used in the present period.
+    pub fn used(&self) -> MicroTokens {
+        self.used
     }
 
     /// Begins the next period once the wall clock has passed the end of the present one. A clock
@@ -40,7 +40,7 @@
     pub fn advance(&mut self, now: ClockReading) {
         if now.wall >= self.present.end {
             self.present = self.period.bounds(now.wall);
-            self.spent = MicroTokens::ZERO;
+            self.used = MicroTokens::ZERO;
         }
     }
 
@@ -51,25 +51,25 @@
 
     /// Spends an amount.
     pub fn charge(&mut self, amount: MicroTokens) {
-        self.spent = self.spent.saturating_add(amount);
+        self.used = self.used.saturating_add(amount);
     }
 
-    /// Takes over the spent amount where the periods are the same or overlap.
+    /// Takes over the used amount where the periods are the same or overlap.
     pub fn inherit(&mut self, previous: &CalendarBudget) {
         if self.period == previous.period {
             // the bounds stand too: the clock may have been stepped back just before the reload,
             // which must not begin the period again
             self.present = previous.present;
-            self.spent = previous.spent;
+            self.used = previous.used;
         } else if self.present.overlaps(&previous.present) {
-            self.spent = previous.spent;
+            self.used = previous.used;
         }
     }
 
     /// Restores a persisted amount, unless it is of an earlier period.
-    pub fn restore(&mut self, spent: MicroTokens, spent_at: Timestamp) {
-        if spent_at >= self.present.start {
-            self.spent = spent;
+    pub fn restore(&mut self, used: MicroTokens, as_of: Timestamp) {
+        if as_of >= self.present.start {
+            self.used = used;
         }
     }
 
@@ -77,7 +77,7 @@
     pub fn status(&self) -> BudgetStatus {
         BudgetStatus {
             limit: self.limit,
-            spent: self.spent,
+            used: self.used,
             refills_at: self.present.end,
             window: self.present.end - self.present.start,
         }
--- a/src/spend/budget_usage/tests.rs
+++ b/src/spend/budget_usage/tests.rs
@@ -34,7 +34,7 @@
 fn spend_all(usage: &mut BudgetUsage, now: ClockReading) -> u64 {
     usage.advance(now);
     let status = usage.status(now);
-    let available = status.limit - status.spent;
+    let available = status.limit - status.used;
     let used = UsedAmount {
         reserved: available,
         excess: MicroTokens::ZERO,
--- a/src/spend/budget_usage/token_bucket.rs
+++ b/src/spend/budget_usage/token_bucket.rs
@@ -9,9 +9,9 @@
 pub(in crate::spend) struct TokenBucket {
     limit: MicroTokens,
     refill_time: Span,
-    /// The spent amount in units of a micro-token divided by the microseconds of `refill_time`: a
+    /// The used amount in units of a micro-token divided by the microseconds of `refill_time`: a
     /// microsecond refills exactly `limit` units, so that no refill is rounded.
-    spent_units: u128,
+    used_units: u128,
     /// The time up to which the bucket has been refilled, by the monotonic clock.
     refilled_at: Timestamp,
 }
@@ -22,7 +22,7 @@
         TokenBucket {
             limit,
             refill_time,
-            spent_units: 0,
+            used_units: 0,
             refilled_at: now.monotonic,
         }
     }
@@ -32,10 +32,10 @@
         self.limit
     }
 
-    /// The amount that is spent and not yet refilled, rounded up.
-    pub fn spent(&self) -> MicroTokens {
-        let spent = self.spent_units.div_ceil(self.units_per_micro_token());
-        MicroTokens::new(u64::try_from(spent).unwrap_or(u64::MAX))
+    /// The amount that is used and not yet refilled, rounded up.
+    pub fn used(&self) -> MicroTokens {
+        let used = self.used_units.div_ceil(self.units_per_micro_token());
+        MicroTokens::new(u64::try_from(used).unwrap_or(u64::MAX))
     }
 
     fn units_per_micro_token(&self) -> u128 {
@@ -46,14 +46,14 @@
     pub fn advance(&mut self, now: ClockReading) {
         let elapsed = now.monotonic - self.refilled_at;
         let refilled = u128::from(elapsed.as_micros()) * u128::from(self.limit);
-        self.spent_units = self.spent_units.saturating_sub(refilled);
+        self.used_units = self.used_units.saturating_sub(refilled);
         self.refilled_at = now.monotonic.max(self.refilled_at);
     }
 
-    /// The time until an amount, at most the limit, is available beside what is spent.
+    /// The time until an amount, at most the limit, is available beside what is used.
     pub fn time_to_available(&self, amount: MicroTokens) -> Span {
         let allowed = u128::from(self.limit - amount) * self.units_per_micro_token();
-        self.time_to_refill(self.spent_units.saturating_sub(allowed))
+        self.time_to_refill(self.used_units.saturating_sub(allowed))
     }
 
     /// The time in which so many units are refilled, rounded up to a microsecond.
@@ -66,35 +66,35 @@
 
     /// Spends an amount.
     pub fn charge(&mut self, amount: MicroTokens) {
-        self.spent_units += u128::from(amount) * self.units_per_micro_token();
+        self.used_units += u128::from(amount) * self.units_per_micro_token();
     }
 
-    /// Takes over the spent amount. It stays exact where the refill time is the same, else it is
+    /// Takes over the used amount. It stays exact where the refill time is the same, else it is
     /// rounded up to a micro-token.
     pub fn inherit(&mut self, previous: &TokenBucket) {
-        self.spent_units = if self.refill_time == previous.refill_time {
-            previous.spent_units
+        self.used_units = if self.refill_time == previous.refill_time {
+            previous.used_units
         } else {
-            let spent = previous
-                .spent_units
+            let used = previous
+                .used_units
                 .div_ceil(previous.units_per_micro_token());
-            spent * self.units_per_micro_token()
+            used * self.units_per_micro_token()
         };
         self.refilled_at = previous.refilled_at;
     }
 
-    /// Restores a persisted amount that was spent as of this time.
-    pub fn restore(&mut self, spent: MicroTokens, spent_at: Timestamp) {
-        self.spent_units = u128::from(spent) * self.units_per_micro_token();
-        self.refilled_at = spent_at;
+    /// Restores a persisted amount that was used as of this time.
+    pub fn restore(&mut self, used: MicroTokens, as_of: Timestamp) {
+        self.used_units = u128::from(used) * self.units_per_micro_token();
+        self.refilled_at = as_of;
     }
 
     /// The state as operators and clients see it.
     pub fn status(&self, now: ClockReading) -> BudgetStatus {
-        let full_at = self.refilled_at + self.time_to_refill(self.spent_units);
+        let full_at = self.refilled_at + self.time_to_refill(self.used_units);
         BudgetStatus {
             limit: self.limit,
-            spent: self.spent(),
+            used: self.used(),
             refills_at: now.wall + (full_at - now.monotonic),
             window: self.refill_time,
         }
--- a/src/spend/ledger.rs
+++ b/src/spend/ledger.rs
@@ -58,7 +58,7 @@
 }
 
 impl Ledger {
-    /// A ledger in which nothing is spent.
+    /// A ledger in which nothing is used.
     pub fn new(tree: &BudgetTree, now: impl Into<ClockReading>) -> Result<Ledger, BudgetTreeError> {
         let mut ledger = Ledger {
             nodes: Vec::new(),
--- a/src/spend/ledger/node.rs
+++ b/src/spend/ledger/node.rs
@@ -29,7 +29,7 @@
 }
 
 impl NodeBudget {
-    /// A budget of which nothing is spent.
+    /// A budget of which nothing is used.
     pub fn new(budget: &Budget, instances: u32, now: ClockReading) -> NodeBudget {
         NodeBudget {
             name: budget.name.clone(),
@@ -62,7 +62,7 @@
         self.budgets.iter_mut().find(|budget| budget.name == name)
     }
 
-    /// Configures the node again. Budgets of the same name keep what is spent.
+    /// Configures the node again. Budgets of the same name keep what is used.
     pub fn replace_budgets(&mut self, mut budgets: Vec<NodeBudget>, now: ClockReading) {
         for budget in &mut budgets {
             if let Some(previous) = self.find_budget(&budget.name) {
--- a/src/spend/ledger/reload.rs
+++ b/src/spend/ledger/reload.rs
@@ -6,7 +6,7 @@
 
 impl Ledger {
     /// Brings another tree into force completely, or not at all where it is not valid. Nodes of the
-    /// same path and budgets of the same name keep what is spent and reserved; a budget that is
+    /// same path and budgets of the same name keep what is used and reserved; a budget that is
     /// lowered below that rejects reservations until enough is available. A node that the tree does
     /// not have is removed once its reservations have ended.
     pub fn reload(
--- a/src/spend/ledger/snapshot.rs
+++ b/src/spend/ledger/snapshot.rs
@@ -1,4 +1,4 @@
-//! The spent amounts as plain data: taken from a ledger, and restored into another.
+//! The used amounts as plain data: taken from a ledger, and restored into another.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,8 @@
     /// The path of the node.
     pub path: String,
     /// The states of its budgets.
-    pub spent: Vec<BudgetState>,
+    #[serde(rename = "spent")]
+    pub used: Vec<BudgetState>,
 }
 
 /// The state of a budget, stored as an array of its three fields.
@@ -23,33 +24,33 @@
 pub struct BudgetState {
     /// The name of the budget.
     pub name: String,
-    /// The amount that is spent.
-    pub spent: MicroTokens,
+    /// The amount that is used.
+    pub used: MicroTokens,
     /// When that was so: Unix time, stored in microseconds.
-    pub spent_at: Timestamp,
+    pub as_of: Timestamp,
 }
 
-/// Name, spent amount and Unix time in microseconds.
+/// Name, used amount and Unix time in microseconds.
 type StoredBudgetState = (String, MicroTokens, u64);
 
 impl From<StoredBudgetState> for BudgetState {
-    fn from((name, spent, micros): StoredBudgetState) -> BudgetState {
+    fn from((name, used, micros): StoredBudgetState) -> BudgetState {
         BudgetState {
             name,
-            spent,
-            spent_at: Timestamp::from_micros(micros),
+            used,
+            as_of: Timestamp::from_micros(micros),
         }
     }
 }
 
 impl From<BudgetState> for StoredBudgetState {
     fn from(state: BudgetState) -> StoredBudgetState {
-        (state.name, state.spent, state.spent_at.as_micros())
+        (state.name, state.used, state.as_of.as_micros())
     }
 }
 
 impl Ledger {
-    /// The spent amounts of all configured nodes.
+    /// The used amounts of all configured nodes.
     pub fn snapshot(&mut self, now: impl Into<ClockReading>) -> Vec<NodeState> {
         let now = now.into();
         self.nodes
@@ -59,7 +60,7 @@
             .collect()
     }
 
-    /// Restores the spent amounts of a snapshot. Nodes and budgets that the ledger does not have
+    /// Restores the used amounts of a snapshot. Nodes and budgets that the ledger does not have
     /// are ignored.
     pub fn restore(&mut self, states: &[NodeState]) {
         for state in states {
@@ -67,9 +68,9 @@
                 continue;
             };
             let node = &mut self.nodes[id.index()];
-            for stored in &state.spent {
+            for stored in &state.used {
                 if let Some(budget) = node.find_budget(&stored.name) {
-                    budget.usage.restore(stored.spent, stored.spent_at);
+                    budget.usage.restore(stored.used, stored.as_of);
                 }
             }
         }
@@ -81,7 +82,7 @@
         let budgets = self.budgets.iter_mut().map(|budget| budget.state(now));
         NodeState {
             path: self.path.clone(),
-            spent: budgets.collect(),
+            used: budgets.collect(),
         }
     }
 }
@@ -91,8 +92,8 @@
         self.usage.advance(now);
         BudgetState {
             name: self.name.clone(),
-            spent: self.usage.status(now).spent,
-            spent_at: now.wall,
+            used: self.usage.status(now).used,
+            as_of: now.wall,
         }
     }
 }
--- a/src/spend/mod.rs
+++ b/src/spend/mod.rs
@@ -7,7 +7,7 @@
 //! ([`Ledger::extend`]). When the request has ended, what it used is charged and the rest of the
 //! reservation is available again ([`Ledger::settle`], [`Ledger::release`]).
 //!
-//! At every budget `spent + reserved` is at most the limit and what one request used beyond its own
+//! At every budget `used + reserved` is at most the limit and what one request used beyond its own
 //! reservation. A period begins once, whichever way the wall clock is stepped, and a bucket is
 //! refilled by the monotonic clock. A reservation ends exactly once. A request that does not fit is
 //! rejected at once with the time after which it can be retried.
--- a/tests/spend/against_reference.rs
+++ b/tests/spend/against_reference.rs
@@ -180,14 +180,14 @@
             let reserved = self.reference.reserved(&usage.path);
             prop_assert_eq!(u128::from(usage.reserved), reserved);
             let ReferenceNode { hourly, bucket } = &self.reference.nodes[usage.path.as_str()];
-            let hourly_spent = u128::from(usage.budgets[0].status.spent);
-            prop_assert_eq!(hourly_spent, hourly.spent, "{}", usage.path);
-            let bucket_spent = u128::from(usage.budgets[1].status.spent);
-            prop_assert_eq!(bucket_spent, bucket.spent.div_ceil(BUCKET_UNITS));
+            let hourly_used = u128::from(usage.budgets[0].status.used);
+            prop_assert_eq!(hourly_used, hourly.used, "{}", usage.path);
+            let bucket_used = u128::from(usage.budgets[1].status.used);
+            prop_assert_eq!(bucket_used, bucket.used.div_ceil(BUCKET_UNITS));
             for budget in &usage.budgets {
                 let status = budget.status;
                 let most = u128::from(status.limit) + u128::from(MAX_USED);
-                prop_assert!(self.is_lowered || u128::from(status.spent) + reserved <= most);
+                prop_assert!(self.is_lowered || u128::from(status.used) + reserved <= most);
             }
         }
         Ok(())
--- a/tests/spend/reference_ledger.rs
+++ b/tests/spend/reference_ledger.rs
@@ -14,7 +14,7 @@
 pub struct ReferenceBudget {
     limit: u64,
     /// In micro-tokens, or in the units of a bucket.
-    pub spent: u128,
+    pub used: u128,
     /// The hour that is counted, or the time up to which the bucket is refilled.
     counted: u64,
 }
@@ -75,11 +75,11 @@
         for ReferenceNode { hourly, bucket } in self.nodes.values_mut() {
             if self.now / HOUR > hourly.counted {
                 hourly.counted = self.now / HOUR;
-                hourly.spent = 0;
+                hourly.used = 0;
             }
             let elapsed = u128::from(self.now.saturating_sub(bucket.counted));
             let refilled = elapsed * u128::from(bucket.limit);
-            bucket.spent = bucket.spent.saturating_sub(refilled);
+            bucket.used = bucket.used.saturating_sub(refilled);
             bucket.counted = bucket.counted.max(self.now);
         }
     }
@@ -101,10 +101,10 @@
                 continue;
             }
             let taken = self.reserved(node) + u128::from(amount);
-            if hourly.spent + taken > u128::from(hourly.limit) {
+            if hourly.used + taken > u128::from(hourly.limit) {
                 return false;
             }
-            let level = bucket.spent + taken * BUCKET_UNITS;
+            let level = bucket.used + taken * BUCKET_UNITS;
             if level > u128::from(bucket.limit) * BUCKET_UNITS {
                 return false;
             }
@@ -122,10 +122,10 @@
             let ReferenceNode { hourly, bucket } = self.nodes.get_mut(node).unwrap();
             let within = u128::from(used.min(amount));
             for (budget, unit) in [(hourly, 1), (bucket, BUCKET_UNITS)] {
-                let taken = budget.spent + (reserved + within) * unit;
+                let taken = budget.used + (reserved + within) * unit;
                 let is_over = taken > u128::from(budget.limit) * unit;
                 let charged = if is_over { within } else { u128::from(used) };
-                budget.spent += charged * unit;
+                budget.used += charged * unit;
             }
         }
     }
--- a/tests/spend/reloads.rs
+++ b/tests/spend/reloads.rs
@@ -39,7 +39,7 @@
     );
     let usage = root_usage(&mut ledger, root);
     assert_eq!(
-        (usage.reserved, usage.budgets[0].status.spent),
+        (usage.reserved, usage.budgets[0].status.used),
         (micro(200), micro(200))
     );
     let school = ledger.find_node("d/n").unwrap();
@@ -52,7 +52,7 @@
     ledger.settle(open, micro(50), Timestamp::from_micros(START));
     assert_eq!(ledger.find_node("d/n/a/p"), None);
     let usage = root_usage(&mut ledger, root);
-    assert_eq!(usage.budgets[0].status.spent, micro(250));
+    assert_eq!(usage.budgets[0].status.used, micro(250));
     let next_hour = Timestamp::from_micros(START + HOUR);
     assert!(ledger.reserve(school, micro(10), next_hour).is_ok());
     // a tree that is not valid changes nothing
--- a/tests/spend/snapshots.rs
+++ b/tests/spend/snapshots.rs
@@ -6,12 +6,12 @@
 use crate::fixtures::{HOUR, START, ledger, micro, tree};
 
 /// What is spent of the hourly budgets.
-fn hourly_spent(ledger: &mut Ledger, at: u64) -> Vec<MicroTokens> {
+fn hourly_used(ledger: &mut Ledger, at: u64) -> Vec<MicroTokens> {
     let root = ledger.find_node("d").unwrap();
     let usages = ledger.subtree_usage(root, Timestamp::from_micros(at));
     usages
         .iter()
-        .map(|usage| usage.budgets[0].status.spent)
+        .map(|usage| usage.budgets[0].status.used)
         .collect()
 }
 
@@ -30,12 +30,12 @@
     let mut restored = Ledger::new(&tree, Timestamp::from_micros(START + 1)).unwrap();
     restored.restore(&serde_json::from_str::<Vec<_>>(&text).unwrap());
     assert_eq!(
-        hourly_spent(&mut restored, START + 1),
-        hourly_spent(&mut ledger, START + 1)
+        hourly_used(&mut restored, START + 1),
+        hourly_used(&mut ledger, START + 1)
     );
     // the state of an earlier period is not restored into a later one
     let mut later = Ledger::new(&tree, Timestamp::from_micros(START + HOUR)).unwrap();
     later.restore(&ledger.snapshot(Timestamp::from_micros(START)));
-    let spent = hourly_spent(&mut later, START + HOUR);
-    assert!(spent.iter().all(|amount| *amount == MicroTokens::ZERO));
+    let used = hourly_used(&mut later, START + HOUR);
+    assert!(used.iter().all(|amount| *amount == MicroTokens::ZERO));
 }
