--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -155,10 +155,12 @@
 /// The text of the metrics, with so many requests in flight.
 fn scrape(c: &mut Criterion) {
     let mut group = c.benchmark_group("scrape");
-    for open in [0, 20_000] {
+    for in_flight in [0, 20_000] {
         let metrics = Arc::new(Metrics::new(&["hint".into(), "batch-mark".into()]));
-        let _open: Vec<_> = (0..open).map(|k| metrics.start_request(k % 2)).collect();
-        group.bench_function(BenchmarkId::from_parameter(open), |b| {
+        let _requests: Vec<_> = (0..in_flight)
+            .map(|k| metrics.start_request(k % 2))
+            .collect();
+        group.bench_function(BenchmarkId::from_parameter(in_flight), |b| {
             b.iter(|| black_box(metrics.encode()));
         });
     }
--- a/benches/pools/arrivals.rs
+++ b/benches/pools/arrivals.rs
@@ -3,8 +3,8 @@
 use crate::fleet::{HOSTS, LARGE_MODEL, SMALL_MODEL};
 use crate::hosts::PREFILL_PER_TOKEN;
 
-/// The share of the requests that are for the large model.
-const LARGE_MODEL_SHARE: f64 = 0.25;
+/// The fraction of the requests that are for the large model.
+const LARGE_MODEL_FRACTION: f64 = 0.25;
 /// The shortest prompts, in tokens.
 const MIN_SMALL_MODEL_PROMPT: u32 = 300;
 const MIN_LARGE_MODEL_PROMPT: u32 = 800;
@@ -41,7 +41,7 @@
         if self.next >= now as f64 {
             return None;
         }
-        let is_large = self.random.fraction() < LARGE_MODEL_SHARE;
+        let is_large = self.random.fraction() < LARGE_MODEL_FRACTION;
         let (model, min_prompt) = if is_large {
             (LARGE_MODEL, MIN_LARGE_MODEL_PROMPT)
         } else {
--- a/benches/pools/simulation.rs
+++ b/benches/pools/simulation.rs
@@ -127,7 +127,7 @@
         // twice the undisturbed time is what the objective allows
         let is_paced = end - stream.first_token <= 2 * DECODE_TIME;
         self.metrics.good_answers += u32::from(stream.first_token_in_time && is_paced);
-        let ended = AttemptEnded {
+        let attempt_end = AttemptEnded {
             request: RequestId(stream.request),
             attempt: 0,
             outcome: Outcome::Completed,
@@ -136,7 +136,7 @@
             request_complete: true,
             load_report: None,
         };
-        self.notify(pool, Event::AttemptEnded(ended));
+        self.notify(pool, Event::AttemptEnded(attempt_end));
     }
 
     fn step_balancers(&mut self) {
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -69,8 +69,8 @@
             .await?;
         return Ok(());
     }
-    let asked: Value = serde_json::from_slice(body).unwrap_or_default();
-    let text = asked["messages"]
+    let request: Value = serde_json::from_slice(body).unwrap_or_default();
+    let text = request["messages"]
         .as_array()
         .and_then(|m| m.last())
         .and_then(|m| m["content"].as_str());
